--- a/bench/choose.cc
+++ b/bench/choose.cc
@@ -9,11 +9,11 @@
 #include <vector>
 
 #include "leverwick/digest.h"
-#include "leverwick/endpoints.h"
-#include "leverwick/estimates.h"
+#include "leverwick/endpoint_pool.h"
 #include "leverwick/planner.h"
 #include "leverwick/routing.h"
 #include "leverwick/testing/table_builder.h"
+#include "leverwick/version_estimates.h"
 
 namespace leverwick {
 namespace {
@@ -48,13 +48,13 @@
       ListedEndpoint endpoint;
       endpoint.address = "10.0.0.1:" + std::to_string(i + 1);
       endpoint.target = "m" + std::to_string(i % kVersions) + "@1";
-      endpoint.places = 8;
+      endpoint.max_in_flight = 8;
       list.push_back(endpoint);
     }
     endpoints.SetListed(list, now);
     for (int i = 0; i < kVersions; ++i) {
       for (uint32_t c = 0; c < 6; ++c) {
-        estimates.Rated("m" + std::to_string(i) + "@1", c, true, 0.7);
+        estimates.RecordRating("m" + std::to_string(i) + "@1", c, true, 0.7);
       }
     }
   }
@@ -99,7 +99,7 @@
 
   TableBuilder builder;
   const Table& table = builder.table();
-  Estimates estimates;
+  VersionEstimates estimates;
   Planner planner;
   EndpointPool endpoints;
   std::vector<std::string> names;
--- a/bench/pool.cc
+++ b/bench/pool.cc
@@ -19,7 +19,7 @@
 
 #include "bench/spread.h"
 #include "leverwick/digest.h"
-#include "leverwick/endpoints.h"
+#include "leverwick/endpoint_pool.h"
 #include "leverwick/fair_queue.h"
 
 namespace leverwick {
@@ -75,7 +75,7 @@
       ListedEndpoint endpoint;
       endpoint.address = "10.0.0.1:" + std::to_string(1 + i);
       endpoint.target = kTarget;
-      endpoint.places = kPlaces;
+      endpoint.max_in_flight = kPlaces;
       list.push_back(endpoint);
       running_[endpoint.address] = 0;
     }
@@ -209,7 +209,7 @@
           "10.0.0.1:" + std::to_string(1 + random_() % static_cast<unsigned>(
                                                            options_.replicas));
     }
-    pool.Started(request.endpoint);
+    pool.RecordStart(request.endpoint);
     size_t& running = running_[request.endpoint];
     ++running;
     // An engine with more requests than places serves them more slowly.
@@ -226,7 +226,7 @@
     requests_.erase(id);
     --running_[request.endpoint];
     auto b = static_cast<size_t>(request.box);
-    pools_[b]->Ended(request.endpoint, true, At(now_));
+    pools_[b]->RecordCompletion(request.endpoint, true, At(now_));
     if (now_ - request.arrived <= kDeadline) good_ += request.tokens;
     for (uint64_t next : queues_[b]->Leave(id & 0xffffffffffff)) {
       Start(Id(request.box, next));
@@ -238,7 +238,7 @@
       for (const auto& entry : running_) {
         LoadReport report;
         report.running = entry.second;
-        pool->Reported(entry.first, report, At(now_));
+        pool->RecordReport(entry.first, report, At(now_));
       }
     }
     events_.push(Event{now_ + kReportLag, 3, 0});
--- a/bench/quality.cc
+++ b/bench/quality.cc
@@ -18,10 +18,10 @@
 #include <random>
 
 #include "bench/spread.h"
-#include "leverwick/estimates.h"
 #include "leverwick/fields.h"
 #include "leverwick/planner.h"
 #include "leverwick/table.h"
+#include "leverwick/version_estimates.h"
 
 namespace leverwick {
 namespace {
@@ -207,7 +207,7 @@
 struct Box {
   explicit Box(int number)
       : estimates("box" + std::to_string(number)), planner(&estimates) {}
-  Estimates estimates;
+  VersionEstimates estimates;
   Planner planner;
 };
 
@@ -284,7 +284,7 @@
     observation.completion_tokens = kKinds[k].completion;
     Box& box = *boxes_[static_cast<size_t>(b)];
     std::string key = VersionKey(version->model(), version->version());
-    box.estimates.Answered(key, request_class, observation);
+    box.estimates.RecordResponse(key, request_class, observation);
     if (world_.Uniform() < rated_share) {
       double noise = 0.1 * (world_.Uniform() - 0.5);
       pending_.push_back(PendingRating{now_ + kRatingDelay, b, organisation_,
@@ -315,8 +315,8 @@
     while (!pending_.empty() && pending_.front().due <= now) {
       const PendingRating& rating = pending_.front();
       Box& box = *boxes_[static_cast<size_t>(rating.box)];
-      box.estimates.Rated(rating.version_key, rating.request_class,
-                          rating.confident, rating.rating);
+      box.estimates.RecordRating(rating.version_key, rating.request_class,
+                                 rating.confident, rating.rating);
       if (rating.final_answer) {
         box.planner.Rated("o" + std::to_string(rating.organisation),
                           rating.expected, rating.rating);
@@ -329,7 +329,7 @@
     for (auto& from : boxes_) {
       LifeSums sums = from->estimates.own();
       for (auto& to : boxes_) {
-        if (to != from) to->estimates.Merge(sums);
+        if (to != from) to->estimates.MergePeerSums(sums);
       }
     }
   }
--- a/bench/rollout.cc
+++ b/bench/rollout.cc
@@ -16,8 +16,8 @@
 #include <random>
 
 #include "bench/spread.h"
-#include "leverwick/estimates.h"
 #include "leverwick/guard.h"
+#include "leverwick/version_estimates.h"
 
 namespace leverwick {
 namespace {
@@ -173,7 +173,7 @@
   const Behaviour bad_;
   const bool shared_;
   const bool fixed_rule_;
-  VersionView baseline_;
+  VersionStats baseline_;
   std::vector<std::unique_ptr<Guard>> guards_;
   std::vector<std::deque<double>> recent_errors_;
   std::vector<std::deque<double>> recent_ratings_;
--- a/daemon/dispatcher.cc
+++ b/daemon/dispatcher.cc
@@ -106,7 +106,7 @@
   intent.set_attempt(static_cast<uint32_t>(exchange->attempts));
   bills_->Open(intent);
   attempt->begin = Clock::now();
-  node_->endpoints.Started(attempt->endpoint);
+  node_->endpoints.RecordStart(attempt->endpoint);
   return true;
 }
 
@@ -120,8 +120,8 @@
                                         {"endpoint", attempt.endpoint},
                                         {"result", Info(outcome.result).name}});
   }
-  node_->endpoints.Ended(attempt.endpoint, outcome.ok() || refused,
-                         Clock::now());
+  node_->endpoints.RecordCompletion(attempt.endpoint, outcome.ok() || refused,
+                                    Clock::now());
   Json::Value& entry = exchange->trace["attempts"].append(Json::Value());
   entry["id"] = attempt.id;
   entry["endpoint"] = attempt.endpoint;
--- a/daemon/endpoint_directory.cc
+++ b/daemon/endpoint_directory.cc
@@ -7,7 +7,7 @@
 
 #include <algorithm>
 
-#include "leverwick/endpoint_life.h"
+#include "leverwick/endpoint_incarnation.h"
 #include "net/log.h"
 
 namespace leverwick {
@@ -31,7 +31,7 @@
   endpoint.target = entry.service;
   endpoint.version = entry.version;
   endpoint.data_centre = entry.data_centre;
-  endpoint.places = entry.places;
+  endpoint.max_in_flight = entry.places;
   endpoint.leaving = entry.leaving;
   return endpoint;
 }
@@ -222,7 +222,7 @@
 std::string EndpointDirectory::LifeOf(const std::string& id) const {
   auto found = lives_.find(id);
   if (found == lives_.end()) return id;
-  return LifeName(id, found->second.born);
+  return IncarnationName(id, found->second.born);
 }
 
 }  // namespace leverwick
--- a/daemon/endpoint_directory.h
+++ b/daemon/endpoint_directory.h
@@ -27,7 +27,7 @@
 #include <string>
 #include <vector>
 
-#include "leverwick/endpoints.h"
+#include "leverwick/endpoint_pool.h"
 #include "leverwick/slow_start.h"
 #include "leverwick/time.h"
 
--- a/daemon/gateway_chat.cc
+++ b/daemon/gateway_chat.cc
@@ -69,7 +69,7 @@
   std::vector<const Version*> live;
   for (const Version* version : candidates) {
     exchange->trace["candidates"].append(KeyOf(*version));
-    if (node_->endpoints.Serves(KeyOf(*version), Clock::now())) {
+    if (node_->endpoints.HasUsable(KeyOf(*version), Clock::now())) {
       live.push_back(version);
     }
   }
@@ -95,7 +95,7 @@
         return node_->guard.Tripped(name, nullptr);
       },
       &rollout);
-  if (to == nullptr || !node_->endpoints.Serves(KeyOf(*to), Clock::now())) {
+  if (to == nullptr || !node_->endpoints.HasUsable(KeyOf(*to), Clock::now())) {
     return Outcome();
   }
   choice->replaced = choice->first;
@@ -109,7 +109,7 @@
 Outcome Gateway::TakePlace(Exchange* exchange, const std::string& target,
                            int64_t tokens, Places::Place* place) {
   TimePoint now = Clock::now();
-  size_t places = node_->endpoints.Places(target, now);
+  size_t places = node_->endpoints.TotalMaxInFlight(target, now);
   if (places == 0) return Outcome{Result::kNoEndpoint, ""};
   int members = std::max(1, node_->CurrentRoster().members_size());
   auto mine = static_cast<size_t>(
@@ -164,13 +164,13 @@
       answer.confidence < node_->settings.requests().weak_answer();
   bool in_rollout = choice.rollout != nullptr && &version == choice.first;
   if (in_rollout) {
-    node_->guard.Answered(
-        choice.rollout->name(), LimitsOf(*choice.rollout),
-        node_->estimates.View(KeyOf(*choice.replaced), exchange.request_class),
-        observation);
+    node_->guard.Answered(choice.rollout->name(), LimitsOf(*choice.rollout),
+                          node_->estimates.StatsFor(KeyOf(*choice.replaced),
+                                                    exchange.request_class),
+                          observation);
   }
-  node_->estimates.Answered(KeyOf(version), exchange.request_class,
-                            observation);
+  node_->estimates.RecordResponse(KeyOf(version), exchange.request_class,
+                                  observation);
   node_->metrics.Observe("leverwick_first_token_seconds",
                          "target=\"" + KeyOf(version) + "\"",
                          answer.first_token.count());
@@ -272,7 +272,7 @@
   if (!outcome.ok()) return Refuse(exchange, outcome);
   double expected =
       static_cast<double>(chat.prompt_tokens) +
-      node_->estimates.OutlookOf(*choice.first, exchange->request_class)
+      node_->estimates.EstimateResponse(*choice.first, exchange->request_class)
           .completion_tokens;
   outcome = TakeLimit(exchange, expected);
   if (!outcome.ok()) return Refuse(exchange, outcome);
--- a/daemon/load_exchange.cc
+++ b/daemon/load_exchange.cc
@@ -25,10 +25,10 @@
   notes_.set_life(std::random_device{}());
 }
 
-LoadExchange::~LoadExchange() { loads_->Observe(nullptr); }
+LoadExchange::~LoadExchange() { loads_->SetObserver(nullptr); }
 
 void LoadExchange::Start() {
-  loads_->Observe(this);
+  loads_->SetObserver(this);
   datagrams_->AddListener(this);
 }
 
@@ -53,12 +53,13 @@
     prompt.endpoint = note.endpoint();
     prompt.reading = Seconds(note.reading_seconds());
     prompt.parts.assign(note.parts().begin(), note.parts().end());
-    loads_->PeerSent(prompt, now);
+    loads_->RecordPeerSend(prompt, now);
   }
-  for (uint64_t ticket : notes.read()) loads_->PeerRead(notes.life(), ticket);
+  for (uint64_t ticket : notes.read())
+    loads_->RecordPeerPrefill(notes.life(), ticket);
 }
 
-void LoadExchange::OnSent(const SentPrompt& prompt) {
+void LoadExchange::OnPromptSent(const SentPrompt& prompt) {
   PromptNote* note = notes_.add_sent();
   note->set_ticket(prompt.ticket);
   note->set_endpoint(prompt.endpoint);
@@ -67,7 +68,7 @@
   SendSoon();
 }
 
-void LoadExchange::OnRead(uint64_t ticket) {
+void LoadExchange::OnPrefillDone(uint64_t ticket) {
   notes_.add_read(ticket);
   SendSoon();
 }
--- a/daemon/load_exchange.h
+++ b/daemon/load_exchange.h
@@ -46,8 +46,8 @@
 
  private:
   // EngineLoads::Observer.
-  void OnSent(const SentPrompt& prompt) override;
-  void OnRead(uint64_t ticket) override;
+  void OnPromptSent(const SentPrompt& prompt) override;
+  void OnPrefillDone(uint64_t ticket) override;
 
   // PeerDatagrams::Listener.
   void OnNotes(const PeerNotes& notes,
--- a/daemon/node.h
+++ b/daemon/node.h
@@ -11,8 +11,7 @@
 #include "daemon/peer_links.h"
 #include "leverwick/bills.h"
 #include "leverwick/claims.h"
-#include "leverwick/endpoints.h"
-#include "leverwick/estimates.h"
+#include "leverwick/endpoint_pool.h"
 #include "leverwick/freshness.h"
 #include "leverwick/guard.h"
 #include "leverwick/limiter.h"
@@ -20,6 +19,7 @@
 #include "leverwick/planner.h"
 #include "leverwick/retry_budget.h"
 #include "leverwick/table.h"
+#include "leverwick/version_estimates.h"
 #include "net/endpoint_client.h"
 #include "net/metrics.h"
 #include "net/platform_client.h"
@@ -48,7 +48,7 @@
   Freshness freshness;
   Membership membership;
   EndpointPool endpoints;
-  Estimates estimates;
+  VersionEstimates estimates;
   Guard guard;
   Limiter limiter;
   Planner planner;
--- a/daemon/platform_watcher.cc
+++ b/daemon/platform_watcher.cc
@@ -46,7 +46,7 @@
     out->set_address(endpoint.address);
     out->set_target(endpoint.target);
     out->set_data_centre(endpoint.data_centre);
-    out->set_places(static_cast<uint32_t>(endpoint.places));
+    out->set_places(static_cast<uint32_t>(endpoint.max_in_flight));
     out->set_leaving(endpoint.leaving);
   }
 }
@@ -66,7 +66,7 @@
     endpoint.address = in.address();
     endpoint.target = in.target();
     endpoint.data_centre = in.data_centre();
-    endpoint.places = in.places();
+    endpoint.max_in_flight = in.places();
     endpoint.leaving = in.leaving();
     list->endpoints.push_back(endpoint);
   }
@@ -234,7 +234,7 @@
   report.running = value["running"].asUInt();
   report.queued = value["queued"].asUInt();
   report.leaving = value["leaving"].asBool();
-  node_->endpoints.ReadReport(address, report, Clock::now());
+  node_->endpoints.RecordOwnReport(address, report, Clock::now());
 }
 
 void PlatformWatcher::Offer(const std::string& request_id,
@@ -286,8 +286,8 @@
     rated_.erase(found);
   }
   node_->metrics.Add("leverwick_ratings_total", "", 1);
-  node_->estimates.Rated(about.version_key, about.request_class,
-                         about.confident, result.rating);
+  node_->estimates.RecordRating(about.version_key, about.request_class,
+                                about.confident, result.rating);
   if (about.expected >= 0) {
     node_->planner.Rated(about.organisation, about.expected, result.rating);
   }
@@ -298,7 +298,7 @@
   if (rollout == nullptr) return;
   node_->guard.Rated(
       about.rollout, LimitsOf(*rollout),
-      node_->estimates.View(about.baseline_key, about.request_class),
+      node_->estimates.StatsFor(about.baseline_key, about.request_class),
       result.rating);
 }
 
@@ -320,7 +320,7 @@
       !MessageFromJson(text, &all)) {
     return;
   }
-  for (const LifeSums& sums : all.lives()) node_->estimates.Merge(sums);
+  for (const LifeSums& sums : all.lives()) node_->estimates.MergePeerSums(sums);
   estimates_loaded_ = true;
   log_.Info("Estimates read from the store.",
             {{"lives", std::to_string(all.lives_size())}});
--- a/daemon/poison_exchange.cc
+++ b/daemon/poison_exchange.cc
@@ -6,7 +6,7 @@
 
 #include <algorithm>
 
-#include "leverwick/endpoint_life.h"
+#include "leverwick/endpoint_incarnation.h"
 #include "net/log.h"
 
 namespace leverwick {
@@ -80,7 +80,8 @@
   }
   if (age > PoisonRequests::kRemembered) return;
   auto ended = poison_->Merge(notes, Clock::now() - age, own);
-  for (const auto& [life, at] : ended) ends_->Told(IdOfLife(life), at);
+  for (const auto& [life, at] : ended)
+    ends_->Told(EndpointIdFromIncarnation(life), at);
 }
 
 void PoisonExchange::Write(TimePoint now) {
--- a/daemon/relay.cc
+++ b/daemon/relay.cc
@@ -41,7 +41,7 @@
       cascade_(options.weak_answer),
       gates_({&reach_, backoffs_.backoffs(), &slow_start_, limits_.permits()}),
       choice_({&pool_, &rollouts_, &loads_, &gates_, &drained_, &refusals_},
-              FarCost(options.far_megabyte), options.data_centre,
+              RemoteCost(options.far_megabyte), options.data_centre,
               options.regions),
       connections_(loop, options.connections),
       ends_(loop, &directory_, &rollouts_, &connections_),
@@ -59,24 +59,25 @@
   TimePoint now = Clock::now();
   const std::string& endpoint = answered.endpoint;
   const AnswerHead& answer = answered.answer;
-  loads_.Reached(answered.data_centre);
-  reach_.Answered(endpoint);
+  loads_.RecordReachable(answered.data_centre);
+  reach_.RecordResponse(endpoint);
   // The word of another one at its address says that it has ended.
   if (answer.other_endpoint) return;
   poison_.Answered(directory_.LifeOf(endpoint), answered.sent_at);
   limits_.Answered(endpoint, answer, answered.sent_at, now);
   backoffs_.Answered(endpoint, answer, now);
   // One that names a time is believed.
-  if (answer.not_run && !answer.retry_after) refusals_.Refused(endpoint, now);
-  if (!answer.not_run) refusals_.Took(endpoint);
+  if (answer.not_run && !answer.retry_after)
+    refusals_.RecordRefusal(endpoint, now);
+  if (!answer.not_run) refusals_.RecordAcceptance(endpoint);
   if (answer.leaving) directory_.SaidLeaving(endpoint, now);
 }
 
 void Relay::OnNewLife(const std::string& endpoint) {
   backoffs_.backoffs()->Forget(endpoint);
-  refusals_.Took(endpoint);
-  reach_.Answered(endpoint);
-  loads_.Restarted(endpoint);
+  refusals_.RecordAcceptance(endpoint);
+  reach_.RecordResponse(endpoint);
+  loads_.RecordRestart(endpoint);
   limits_.Restarted(endpoint, Clock::now());
 }
 
--- a/daemon/relay.h
+++ b/daemon/relay.h
@@ -27,11 +27,10 @@
 #include "daemon/endpoint_ends.h"
 #include "daemon/limit_watch.h"
 #include "daemon/version_watch.h"
-#include "leverwick/endpoint_choice.h"
-#include "leverwick/endpoints.h"
+#include "leverwick/endpoint_pool.h"
+#include "leverwick/endpoint_selector.h"
 #include "leverwick/engine_loads.h"
 #include "leverwick/escalation.h"
-#include "leverwick/estimates.h"
 #include "leverwick/guard.h"
 #include "leverwick/key_trust.h"
 #include "leverwick/model_cascade.h"
@@ -43,6 +42,7 @@
 #include "leverwick/send_gates.h"
 #include "leverwick/service_config.h"
 #include "leverwick/service_rollouts.h"
+#include "leverwick/version_estimates.h"
 #include "net/async_http_client.h"
 #include "net/async_http_server.h"
 #include "net/metrics.h"
@@ -55,7 +55,7 @@
 struct RelayOptions {
   std::string life;          // names this box's life in sums and logs
   std::string data_centre;   // of this box
-  Regions regions;           // of all data centres
+  RegionMap regions;         // of all data centres
   nanoseconds proof_age{0};  // oldest proof of the configuration in force
   // Whether keyed work is refused without a proof (leverwick/key_trust.h).
   bool strict_withdrawal = true;
@@ -157,7 +157,7 @@
   ReadProof proof_;
   const KeyTrust& key_trust_;
   ServiceRollouts rollouts_;
-  Estimates estimates_;
+  VersionEstimates estimates_;
   Guard guard_;
   VersionWatch watch_;
   ModelCascade cascade_;
@@ -166,7 +166,7 @@
   Reachability reach_;
   RecentRefusals refusals_;
   const SendGates gates_;
-  const EndpointChoice choice_;
+  const EndpointSelector choice_;
   HttpConnections connections_;
   EndpointEnds ends_;
   PoisonRequests poison_;
--- a/daemon/relayed_request.cc
+++ b/daemon/relayed_request.cc
@@ -102,7 +102,7 @@
   return std::chrono::duration_cast<milliseconds>(deadline_ - now);
 }
 
-WantedEndpoint RelayedRequest::Wanted(size_t model) {
+EndpointCriteria RelayedRequest::Wanted(size_t model) {
   using Side = ServiceRollouts::Side;
   // A roll-out was ordered after the request began: it began on the version
   // before, and its session stays there.
@@ -113,20 +113,20 @@
   if (failed_on_target_ || ends_target_) side_ = Side::kBaseline;
   // A target that was found bad meanwhile gets nothing more.
   if (!relay_->rollouts_.MayUseTarget(service_)) side_ = Side::kBaseline;
-  WantedEndpoint wanted;
+  EndpointCriteria wanted;
   wanted.service = service_;
   wanted.side = side_;
   wanted.affinity = terms_.affinity();
   wanted.work = terms_.Work(model);
   wanted.body_bytes = exchange_->body().size();
   wanted.homes = terms_.homes();
-  wanted.tried = tried_;
-  wanted.last_tried = last_tried_;
+  wanted.attempted = tried_;
+  wanted.last_attempted = last_tried_;
   return wanted;
 }
 
 std::string RelayedRequest::ChooseEndpoint(size_t model) {
-  return relay_->choice_.Choose(Wanted(model), Clock::now());
+  return relay_->choice_.Select(Wanted(model), Clock::now());
 }
 
 // Looked up before each send, since what other boxes have found may have come
@@ -180,7 +180,7 @@
   }
   ++dispatches_;
   if (endpoint != nullptr) return SendTo(*endpoint);
-  Result why = relay_->choice_.WhyNone(Wanted(model_), now);
+  Result why = relay_->choice_.ReasonForNone(Wanted(model_), now);
   if (why != Result::kNoEndpoint) TellUnavailable(why, now);
   if (stream_started_) return BreakStream("stream_broken");
   if (!log_.may_have_run()) return AnswerNotRun(why);
@@ -195,7 +195,8 @@
   if (!relay_->limits_.limits().any()) return false;
   SendPermits* permits = relay_->limits_.permits();
   for (int asks = 0; asks < kMostAsksAtOnce; ++asks) {
-    std::string wished = relay_->choice_.ChooseToAsk(Wanted(model_), now);
+    std::string wished =
+        relay_->choice_.SelectForPermitRequest(Wanted(model_), now);
     const DirectoryEntry* endpoint = relay_->directory_.Find(wished);
     if (endpoint == nullptr) return false;
     preferred_ = wished;
@@ -209,16 +210,16 @@
 void RelayedRequest::SendTo(const DirectoryEntry& endpoint) {
   tried_.insert(endpoint.id);
   last_tried_ = endpoint.id;
-  log_.Sent();
-  relay_->pool_.Started(endpoint.id);
+  log_.RecordAttempt();
+  relay_->pool_.RecordStart(endpoint.id);
   relay_->gates_.Sent(endpoint.id, Clock::now());
   try_.emplace();
   try_->endpoint = endpoint.id;
   try_->version = endpoint.version;
   try_->data_centre = endpoint.data_centre;
   try_->sent_at = Clock::now();
-  try_->ticket =
-      relay_->loads_.Sent(endpoint.id, terms_.Work(model_), try_->sent_at);
+  try_->ticket = relay_->loads_.RecordSend(endpoint.id, terms_.Work(model_),
+                                           try_->sent_at);
   relay_->rollouts_.Sent(service_, request_.session, endpoint.version);
   try_->run = relay_->ends_.runs()->Began(digest_, endpoint.id,
                                           endpoint.version, try_->sent_at);
@@ -245,7 +246,8 @@
     return false;
   }
   try_->has_head = true;
-  if (answer.succeeded()) relay_->loads_.Began(try_->ticket, Clock::now());
+  if (answer.succeeded())
+    relay_->loads_.RecordResponseStart(try_->ticket, Clock::now());
   try_->answer = answer;
   try_->head = head;
   relay_->Heard(*try_);
@@ -272,7 +274,7 @@
   relay_->cascade_.Answered(route_.name, model_, confidence);
   size_t better = ModelCascade::Better(route_, model_);
   return better != model_ && relay_->cascade_.IsWeak(confidence) &&
-         log_.attempts_left() &&
+         log_.has_attempts_left() &&
          TimeLeft(Clock::now()) > route_.objective / 4 && CanFinish(better) &&
          relay_->TakeRetry(service_, RetryBudget::Purpose::kImprove);
 }
@@ -282,8 +284,8 @@
   std::string endpoint = ChooseEndpoint(model);
   if (endpoint.empty()) return false;
   ExpectedTime begins_in{
-      relay_->loads_.OwnBegin(endpoint, terms_.Work(model), now),
-      relay_->loads_.HeldUpAt(endpoint, now)};
+      relay_->loads_.UnloadedWait(endpoint, terms_.Work(model), now),
+      relay_->loads_.QueueDelay(endpoint, now)};
   bool fits = relay_->escalation_.Fits(terms_.KindOf(model), begins_in,
                                        TimeLeft(now), now);
   if (!fits) TellKept(model, begins_in, now);
@@ -305,7 +307,7 @@
   relay_->metrics_.Add("leverwick_weak_answers_total",
                        "route=\"" + route_.name + "\"", 1);
   events_.DropHalf();
-  log_.Dropped();
+  log_.RecordDiscardedResponse();
   // The same endpoint may hold the prompt's parts for the larger model too.
   tried_.clear();
   model_ = ModelCascade::Better(route_, model_);
@@ -384,8 +386,8 @@
   if (try_->weak) return;  // AskLargerModel is on its way
   TellBroken(failure);
   bool silent = !failure.sent && failure.error == std::errc::timed_out;
-  if (silent) relay_->reach_.TimedOut(try_->endpoint, Clock::now());
-  relay_->loads_.Failed(try_->ticket, try_->data_centre, Clock::now());
+  if (silent) relay_->reach_.RecordTimeout(try_->endpoint, Clock::now());
+  relay_->loads_.RecordFailure(try_->ticket, try_->data_centre, Clock::now());
   std::string endpoint = try_->endpoint;
   // Before the next send: a run that begins after an end is not under it.
   TimePoint broke_at = Clock::now();
@@ -422,16 +424,16 @@
   bool promised = try_->has_head && PromisesNotRun(try_->answer.status);
   // The budget is drawn on only where the route lets the request go again.
   bool could = outcome == AttemptOutcome::kNotSent ||
-               (log_.attempts_left() &&
+               (log_.has_attempts_left() &&
                 (route_.repeatable() || (refused && !log_.may_have_run())));
-  NextStep step = log_.After(outcome, could && MayResend(outcome));
+  NextStep step = log_.DecideNextStep(outcome, could && MayResend(outcome));
   TellTryEnd(outcome, step);
-  if (step == NextStep::kTryAgain) {
+  if (step == NextStep::kRetry) {
     resumed_ = stream_started_;
     return Dispatch();
   }
   if (stream_started_) return BreakStream("stream_broken");
-  if (step == NextStep::kAnswerNotRun) {
+  if (step == NextStep::kRespondNotRun) {
     return AnswerNotRun(refused ? WhyRefused() : Result::kNoEndpoint);
   }
   AnswerFailure(promised ? Result::kFailed : Result::kUnknownOutcome);
@@ -439,17 +441,17 @@
 
 Result RelayedRequest::WhyRefused() {
   TimePoint now = Clock::now();
-  WantedEndpoint anew = Wanted(model_);
-  anew.tried.clear();
-  if (!relay_->choice_.Choose(anew, now).empty()) {
+  EndpointCriteria anew = Wanted(model_);
+  anew.attempted.clear();
+  if (!relay_->choice_.Select(anew, now).empty()) {
     return Result::kEndpointRefused;
   }
-  return relay_->choice_.WhyNone(anew, now);
+  return relay_->choice_.ReasonForNone(anew, now);
 }
 
 void RelayedRequest::ReleaseEndpoint(bool good, std::optional<RunEnd> how) {
-  relay_->pool_.Ended(try_->endpoint, good, Clock::now());
-  relay_->loads_.Ended(try_->ticket);
+  relay_->pool_.RecordCompletion(try_->endpoint, good, Clock::now());
+  relay_->loads_.RecordFinish(try_->ticket);
   RecentRuns* runs = relay_->ends_.runs();
   if (how) {
     runs->Ended(try_->endpoint, try_->run, *how, Clock::now());
@@ -484,8 +486,7 @@
 void RelayedRequest::AnswerNotRun(Result result) {
   milliseconds come_back_after = kComeBackAfter;
   if (result != Result::kEndpointRefused && result != Result::kQueueTimeout) {
-    come_back_after =
-        relay_->choice_.ComeBackAfter(Wanted(model_), Clock::now());
+    come_back_after = relay_->choice_.RetryAfter(Wanted(model_), Clock::now());
   }
   // All who were refused would otherwise come back at the same moment.
   bool share_end = result == Result::kEndpointsLimited ||
--- a/daemon/relayed_request.h
+++ b/daemon/relayed_request.h
@@ -23,7 +23,7 @@
 #include "daemon/dialect.h"
 #include "daemon/relay.h"
 #include "daemon/request_terms.h"
-#include "leverwick/attempts.h"
+#include "leverwick/attempt_history.h"
 #include "leverwick/event_stream.h"
 
 namespace leverwick {
@@ -66,7 +66,7 @@
   // Asks for the endpoint where the request would best go, if that one names a
   // limit; true if the answer is under way.
   bool AskForPermit(TimePoint now);
-  WantedEndpoint Wanted(size_t model);
+  EndpointCriteria Wanted(size_t model);
   std::string ChooseEndpoint(size_t model);
   void SendTo(const DirectoryEntry& endpoint);
   std::string RequestFor(const DirectoryEntry& endpoint) const;
@@ -146,7 +146,7 @@
   const RequestDigest digest_;
   boost::asio::steady_timer timer_;
   TimePoint deadline_{};
-  AttemptLog log_;
+  AttemptHistory log_;
   std::set<std::string> tried_;
   std::string last_tried_;
   int dispatches_ = 0;
--- a/daemon/relayed_request_log.cc
+++ b/daemon/relayed_request_log.cc
@@ -37,7 +37,7 @@
              {"service", service_},
              {"opens_in_ms",
               std::to_string(
-                  relay_->choice_.ComeBackAfter(Wanted(model_), now).count())},
+                  relay_->choice_.RetryAfter(Wanted(model_), now).count())},
              {"limits", relay_->limits_.DescribeService(service_, now)},
              {"backoffs", relay_->backoffs_.DescribeService(service_, now)}});
 }
@@ -147,7 +147,7 @@
        {"side", ServiceRollouts::SideName(side_)},
        {"session", request_.session.empty() ? "none" : request_.session},
        {"model", model.empty() ? "given" : model},
-       {"own_requests", std::to_string(relay_->pool_.OwnRequests(endpoint.id))},
+       {"own_requests", std::to_string(relay_->pool_.OwnInFlight(endpoint.id))},
        {"after_event", LastEvent()},
        {"limit", relay_->limits_.Describe(endpoint.id, try_->sent_at)},
        {"without_room", PreferredText()},
--- a/daemon/request_terms.h
+++ b/daemon/request_terms.h
@@ -14,7 +14,7 @@
 #include "daemon/dialect.h"
 #include "leverwick/engine_loads.h"
 #include "leverwick/escalation.h"
-#include "leverwick/homes.h"
+#include "leverwick/home_regions.h"
 #include "leverwick/service_config.h"
 
 namespace leverwick {
@@ -32,7 +32,7 @@
   const std::string& session_or_id() const;
   // Requests with the same value are best sent to the same endpoint.
   uint64_t affinity() const;
-  Homes homes() const { return {&route_->homes, &holder_->homes}; }
+  HomeRegions homes() const { return {&route_->homes, &holder_->homes}; }
 
   // The model that was chosen for the caller; empty: as the caller named it.
   const std::string& ChosenModel(size_t model) const;
--- a/daemon/roster_keeper.cc
+++ b/daemon/roster_keeper.cc
@@ -76,7 +76,7 @@
   }
   for (const std::string& address : node_->endpoints.addresses()) {
     EndpointNote note;
-    if (!node_->endpoints.NoteOf(address, Clock::now(), &note)) continue;
+    if (!node_->endpoints.FillNote(address, Clock::now(), &note)) continue;
     *heartbeat.add_notes() = note;
   }
   if (!with_sums) return heartbeat;
@@ -93,7 +93,8 @@
   std::vector<Member> targets = node_->membership.Targets();
   if (with_sums) {
     size_t bytes = heartbeat.ByteSizeLong();
-    next_sums_ = now + FromSeconds(SumsInterval(bytes, targets.size()).count());
+    next_sums_ =
+        now + FromSeconds(SumsBroadcastInterval(bytes, targets.size()).count());
   }
   for (const Member& member : targets) {
     HeartbeatReply reply;
@@ -157,7 +158,8 @@
 }
 
 void RosterKeeper::TakeNews(const Heartbeat& heartbeat) {
-  for (const LifeSums& sums : heartbeat.sums()) node_->estimates.Merge(sums);
+  for (const LifeSums& sums : heartbeat.sums())
+    node_->estimates.MergePeerSums(sums);
   for (const GuardSum& sum : heartbeat.guards()) node_->guard.Merge(sum);
   for (const RolloutTrip& trip : heartbeat.trips()) {
     node_->guard.Trip(trip.rollout(), trip.reason());
@@ -167,7 +169,7 @@
     report.running = note.running();
     report.queued = note.queued();
     report.leaving = note.leaving();
-    node_->endpoints.Reported(note.address(), report, Clock::now());
+    node_->endpoints.RecordReport(note.address(), report, Clock::now());
   }
 }
 
--- a/daemon/testing/endpoint_directory_test.cc
+++ b/daemon/testing/endpoint_directory_test.cc
@@ -29,7 +29,7 @@
   EndpointDirectory directory{&pool, &slow_start};
 
   Listed() { directory.Put(MakeEntry("a"), kStart); }
-  bool Serves(TimePoint now) const { return pool.Serves("chat", now); }
+  bool Serves(TimePoint now) const { return pool.HasUsable("chat", now); }
 };
 
 // The entry vanishes while the list is away, which is back at `back`.
@@ -329,11 +329,11 @@
 TEST_CASE("an endpoint that is gone with requests under way takes no new one") {
   Listed listed;
   listed.directory.ReadSucceeded(kStart);
-  listed.pool.Started("a");
+  listed.pool.RecordStart("a");
   listed.directory.Remove("a", kStart);
   CHECK_FALSE(listed.Serves(kStart));
-  CHECK(listed.pool.OwnRequests("a") == 1);
-  listed.pool.Ended("a", true, kStart);
+  CHECK(listed.pool.OwnInFlight("a") == 1);
+  listed.pool.RecordCompletion("a", true, kStart);
   CHECK(listed.pool.addresses().empty());
 }
 
--- a/daemon/testing/load_exchange_test.cc
+++ b/daemon/testing/load_exchange_test.cc
@@ -54,13 +54,13 @@
   Box second(&loop, "dc1", 0);
   first.Tell({second.entry});
   double idle = second.WaitAt("a", kOtherWork);
-  uint64_t ticket = first.loads.Sent("a", kWork, Clock::now());
-  double reading = first.loads.ReadingOf(ticket).count();
+  uint64_t ticket = first.loads.RecordSend("a", kWork, Clock::now());
+  double reading = first.loads.ExpectedPrefill(ticket).count();
   REQUIRE(RunUntil(&loop, [&] {
     return second.WaitAt("a", kOtherWork) > idle + reading * 0.99;
   }));
   CHECK(second.WaitAt("b", kOtherWork) == doctest::Approx(idle));
-  first.loads.Began(ticket, Clock::now());
+  first.loads.RecordResponseStart(ticket, Clock::now());
   REQUIRE(RunUntil(&loop, [&] {
     return second.WaitAt("a", kOtherWork) < idle + reading * 0.01;
   }));
@@ -75,9 +75,9 @@
   first.Tell({second.entry});
   EngineWork call;
   call.kind = "route";
-  first.loads.Ended(first.loads.Sent("a", call, Clock::now()));
+  first.loads.RecordFinish(first.loads.RecordSend("a", call, Clock::now()));
   double idle = second.WaitAt("a", kOtherWork);
-  first.loads.Sent("a", kWork, Clock::now());
+  first.loads.RecordSend("a", kWork, Clock::now());
   REQUIRE(RunUntil(
       &loop, [&] { return second.WaitAt("a", kOtherWork) > idle + 0.01; }));
   // One datagram: a note of the call would have gone before the prompt's.
@@ -93,12 +93,12 @@
   Box farther(&loop, "dc3", 1);
   double idle = far.WaitAt("a", kOtherWork);
   first.Tell({near.entry, far.entry, farther.entry});
-  first.loads.Sent("a", kWork, Clock::now());
+  first.loads.RecordSend("a", kWork, Clock::now());
   REQUIRE(RunUntil(&loop,
                    [&] { return near.WaitAt("a", kOtherWork) > idle + 0.01; }));
   CHECK(far.WaitAt("a", kOtherWork) == doctest::Approx(idle));
   first.Tell({near.entry, far.entry});
-  first.loads.Sent("b", kWork, Clock::now());
+  first.loads.RecordSend("b", kWork, Clock::now());
   REQUIRE(RunUntil(&loop,
                    [&] { return far.WaitAt("b", kOtherWork) > idle + 0.01; }));
 }
@@ -116,7 +116,7 @@
                    {second.address.address(), second.address.port()});
   double idle = second.WaitAt("a", kOtherWork);
   for (const char* endpoint : {"a", "b", "c"}) {
-    first.loads.Sent(endpoint, kWork, Clock::now());
+    first.loads.RecordSend(endpoint, kWork, Clock::now());
     REQUIRE(RunUntil(&loop, [&] {
       return second.WaitAt(endpoint, kOtherWork) > idle + 0.01;
     }));
--- a/daemon/testing/version_watch_test.cc
+++ b/daemon/testing/version_watch_test.cc
@@ -119,7 +119,7 @@
   SlowStart slow_start_{"box"};
   EndpointDirectory directory_{&pool_, &slow_start_};
   ServiceRollouts rollouts_{{}};
-  Estimates estimates_{"box"};
+  VersionEstimates estimates_{"box"};
   Guard guard_{"box", kTripThreshold};
   VersionWatch watch_{&estimates_, &guard_, &rollouts_, &directory_};
   TimePoint now_ = Clock::now();
--- a/daemon/version_watch.cc
+++ b/daemon/version_watch.cc
@@ -68,14 +68,14 @@
          rollouts_->TargetOf(tried.service) == tried.version;
 }
 
-VersionView VersionWatch::Baseline(const WatchedTry& tried) const {
-  VersionView most;
+VersionStats VersionWatch::Baseline(const WatchedTry& tried) const {
+  VersionStats most;
   for (const std::string& version : directory_->VersionsOf(tried.service)) {
     bool is_baseline =
         version != tried.version && !rollouts_->IsBad(tried.service, version);
     if (!is_baseline) continue;
-    VersionView view =
-        estimates_->View(VersionKeyOf(tried.service, version), KindOf(tried));
+    VersionStats view = estimates_->StatsFor(
+        VersionKeyOf(tried.service, version), KindOf(tried));
     if (view.answers >= most.answers) most = view;
   }
   return most;
@@ -100,8 +100,8 @@
   Observation observation;
   observation.error = failed;
   observation.latency = time;
-  estimates_->Answered(VersionKeyOf(tried.service, tried.version),
-                       KindOf(tried), observation);
+  estimates_->RecordResponse(VersionKeyOf(tried.service, tried.version),
+                             KindOf(tried), observation);
   if (rollouts_->IsBad(tried.service, tried.version)) return;
   if (!IsWatchedTarget(tried)) {
     if (!failed) BeginsOf(tried)(time.count());
@@ -172,7 +172,7 @@
 
 void VersionWatch::StreamEnded(const WatchedTry& tried) {
   if (rollouts_->IsBad(tried.service, tried.version)) return;
-  VersionView& ends = EndsOf(tried.service);
+  VersionStats& ends = EndsOf(tried.service);
   if (IsWatchedTarget(tried)) {
     return guard_->Ended(SubjectOf(tried), kBreaks, ends, false);
   }
@@ -188,7 +188,7 @@
   bool is_same = last != TimePoint{} && now - last < kOneBreak;
   if (is_same) return;
   last = now;
-  VersionView& ends = EndsOf(tried.service);
+  VersionStats& ends = EndsOf(tried.service);
   if (!is_watched) {
     ends.answers += 1;
     ends.errors += 1;
--- a/daemon/version_watch.h
+++ b/daemon/version_watch.h
@@ -28,9 +28,9 @@
 #include <string>
 
 #include "daemon/endpoint_directory.h"
-#include "leverwick/estimates.h"
 #include "leverwick/guard.h"
 #include "leverwick/service_rollouts.h"
+#include "leverwick/version_estimates.h"
 
 namespace leverwick {
 
@@ -55,8 +55,8 @@
 // Not thread-safe.
 class VersionWatch {
  public:
-  VersionWatch(Estimates* estimates, Guard* guard, ServiceRollouts* rollouts,
-               const EndpointDirectory* directory)
+  VersionWatch(VersionEstimates* estimates, Guard* guard,
+               ServiceRollouts* rollouts, const EndpointDirectory* directory)
       : estimates_(estimates),
         guard_(guard),
         rollouts_(rollouts),
@@ -95,7 +95,7 @@
 
   bool IsWatchedTarget(const WatchedTry& tried) const;
   void CountBaseline(const std::string& service);
-  VersionView Baseline(const WatchedTry& tried) const;
+  VersionStats Baseline(const WatchedTry& tried) const;
   Quantile& PacesOf(const WatchedTry& tried);
   Quantile& BeginsOf(const WatchedTry& tried);
   // The target's pace, or the baseline's.
@@ -103,13 +103,13 @@
   // The target's time until an answer began; `ended`: it has begun.
   void TimeBegin(const WatchedTry& tried, Seconds time, bool ended);
   // How streams of a service's other versions have ended.
-  VersionView& EndsOf(const std::string& service) { return ends_[service]; }
+  VersionStats& EndsOf(const std::string& service) { return ends_[service]; }
   // A time of the target's that is slow beyond `bound`, or not.
   void Timed(const WatchedTry& tried, TimeMeasure measure, Seconds time,
              Seconds bound);
   void CheckTrip(const WatchedTry& tried);
 
-  Estimates* const estimates_;
+  VersionEstimates* const estimates_;
   Guard* const guard_;
   ServiceRollouts* const rollouts_;
   const EndpointDirectory* const directory_;
@@ -119,7 +119,7 @@
   std::map<std::string, double> baseline_answers_;
   std::map<std::string, TargetAnswers> seen_;  // by subject
   // By service: those that broke off as errors.
-  std::map<std::string, VersionView> ends_;
+  std::map<std::string, VersionStats> ends_;
   std::map<std::string, TimePoint> broke_at_;  // by endpoint
 };
 
--- a/leverwick/attempts.cc
+++ b/leverwick/attempt_history.cc
@@ -1,7 +1,7 @@
 // A try that reached no endpoint gives its attempt back: the bound is on
 // endpoints that a request is sent to.
 
-#include "leverwick/attempts.h"
+#include "leverwick/attempt_history.h"
 
 namespace leverwick {
 
@@ -17,17 +17,18 @@
   return kNames[static_cast<int>(step)];
 }
 
-NextStep AttemptLog::After(AttemptOutcome outcome, bool may_resend) {
+NextStep AttemptHistory::DecideNextStep(AttemptOutcome outcome,
+                                        bool may_retry) {
   if (outcome == AttemptOutcome::kNotSent) --attempts_;
   if (outcome == AttemptOutcome::kFailed ||
       outcome == AttemptOutcome::kBroken) {
     may_have_run_ = true;
   }
   bool allowed = !may_have_run_ || repeatable_;
-  if (allowed && may_resend && attempts_left()) return NextStep::kTryAgain;
-  if (!may_have_run_) return NextStep::kAnswerNotRun;
-  return outcome == AttemptOutcome::kFailed ? NextStep::kAnswerFailure
-                                            : NextStep::kAnswerUnknown;
+  if (allowed && may_retry && has_attempts_left()) return NextStep::kRetry;
+  if (!may_have_run_) return NextStep::kRespondNotRun;
+  return outcome == AttemptOutcome::kFailed ? NextStep::kForwardFailure
+                                            : NextStep::kRespondUnknown;
 }
 
 }  // namespace leverwick
--- a/leverwick/attempts.h
+++ b/leverwick/attempt_history.h
@@ -6,11 +6,11 @@
 // while no try of it can have run or will.
 //
 //   AttemptLog log(route.repeatable(), route.max_attempts);
-//   log.Sent();
-//   NextStep step = log.After(AttemptOutcome::kRefused, may_resend);
+//   log.RecordAttempt();
+//   NextStep step = log.DecideNextStep(AttemptOutcome::kRefused, may_retry);
 
-#ifndef LEVERWICK_ATTEMPTS_H_
-#define LEVERWICK_ATTEMPTS_H_
+#ifndef LEVERWICK_ATTEMPT_HISTORY_H_
+#define LEVERWICK_ATTEMPT_HISTORY_H_
 
 namespace leverwick {
 
@@ -23,34 +23,34 @@
 };
 
 enum class NextStep {
-  kTryAgain,       // at another endpoint
-  kAnswerNotRun,   // nothing has run; the caller may come back
-  kAnswerFailure,  // pass the endpoint's own failure on
-  kAnswerUnknown,  // it may have run
+  kRetry,           // at another endpoint
+  kRespondNotRun,   // nothing has run; the caller may come back
+  kForwardFailure,  // pass the endpoint's own failure on
+  kRespondUnknown,  // it may have run
 };
 
 // For logs and metrics.
 const char* NameOf(AttemptOutcome outcome);
 const char* NameOf(NextStep step);
 
-class AttemptLog {
+class AttemptHistory {
  public:
-  AttemptLog(bool repeatable, int max_attempts)
+  AttemptHistory(bool repeatable, int max_attempts)
       : repeatable_(repeatable), max_attempts_(max_attempts) {}
 
   // A try begins; it counts as one endpoint that the request is sent to.
-  void Sent() { ++attempts_; }
+  void RecordAttempt() { ++attempts_; }
 
   // The try's answer was given up for a better one: it has run.
-  void Dropped() { may_have_run_ = true; }
+  void RecordDiscardedResponse() { may_have_run_ = true; }
 
-  // `may_resend`: the retry budget and the time left allow another try.
-  NextStep After(AttemptOutcome outcome, bool may_resend);
+  // `may_retry`: the retry budget and the time left allow another try.
+  NextStep DecideNextStep(AttemptOutcome outcome, bool may_retry);
 
   // Whether some try has run or may have run.
   bool may_have_run() const { return may_have_run_; }
   int attempts() const { return attempts_; }
-  bool attempts_left() const { return attempts_ < max_attempts_; }
+  bool has_attempts_left() const { return attempts_ < max_attempts_; }
 
  private:
   const bool repeatable_;
@@ -61,4 +61,4 @@
 
 }  // namespace leverwick
 
-#endif  // LEVERWICK_ATTEMPTS_H_
+#endif  // LEVERWICK_ATTEMPT_HISTORY_H_
--- a/leverwick/endpoint_life.h
+++ b/leverwick/endpoint_incarnation.h
@@ -2,11 +2,11 @@
 // so. An endpoint that starts again under its id is another one to whoever
 // remembers what the earlier one did, and all boxes give both the same names.
 //
-//   std::string life = LifeName("i-1", born);
+//   std::string incarnation = LifeName("i-1", started_at);
 //   IdOfLife(life) == "i-1"
 
-#ifndef LEVERWICK_ENDPOINT_LIFE_H_
-#define LEVERWICK_ENDPOINT_LIFE_H_
+#ifndef LEVERWICK_ENDPOINT_INCARNATION_H_
+#define LEVERWICK_ENDPOINT_INCARNATION_H_
 
 #include <optional>
 #include <string>
@@ -16,10 +16,11 @@
 namespace leverwick {
 
 // Without a start the name is the id.
-std::string LifeName(const std::string& id, std::optional<WallTime> born);
+std::string IncarnationName(const std::string& id,
+                            std::optional<WallTime> started_at);
 
-std::string IdOfLife(const std::string& life);
+std::string EndpointIdFromIncarnation(const std::string& incarnation);
 
 }  // namespace leverwick
 
-#endif  // LEVERWICK_ENDPOINT_LIFE_H_
+#endif  // LEVERWICK_ENDPOINT_INCARNATION_H_
--- a/leverwick/endpoints.cc
+++ b/leverwick/endpoint_pool.cc
@@ -1,10 +1,11 @@
 // Pick looks at the endpoint that rendezvous hashing prefers for the prefix
 // and at the least loaded one, and takes the preferred while its load is at
-// most kAffinitySlack above the least. An endpoint that failed kFailures times
-// in a row is ejected for a time that doubles; when more than half of a target
-// is ejected the fault is more likely on our side, and ejection is ignored.
+// most kAffinityLoadSlack above the least. An endpoint that failed
+// kFailuresToEject times in a row is ejected for a time that doubles; when more
+// than half of a target is ejected the fault is more likely on our side, and
+// ejection is ignored.
 
-#include "leverwick/endpoints.h"
+#include "leverwick/endpoint_pool.h"
 
 #include <algorithm>
 #include <cmath>
@@ -14,38 +15,39 @@
 namespace leverwick {
 namespace {
 
-constexpr double kAffinitySlack = 0.25;
-constexpr size_t kFailures = 3;
-constexpr Seconds kFirstEjection(1.0);
-constexpr Seconds kLongestEjection(30.0);
-constexpr double kPanicShare = 0.5;
+constexpr double kAffinityLoadSlack = 0.25;
+constexpr size_t kFailuresToEject = 3;
+constexpr Seconds kBaseEjection(1.0);
+constexpr Seconds kMaxEjection(30.0);
+constexpr double kPanicThreshold = 0.5;
 // A report loses half of its weight in this time.
-constexpr Seconds kReportHalfLife(2.0);
+constexpr Seconds kLoadReportHalfLife(2.0);
 // An endpoint that said it leaves is not believed to be back before this.
-constexpr Seconds kLeavingMemory(60.0);
+constexpr Seconds kLeavingRetention(60.0);
 // Older reports are not passed on.
-constexpr Seconds kNoteAge(1.5);
+constexpr Seconds kMaxNoteAge(1.5);
 
-TimePoint EjectedUntil(size_t failures, TimePoint now) {
-  double doubled = kFirstEjection.count() *
-                   std::exp2(static_cast<double>(failures - kFailures));
-  return now + FromSeconds(std::min(doubled, kLongestEjection.count()));
+TimePoint EjectionEnd(size_t failures, TimePoint now) {
+  double doubled = kBaseEjection.count() *
+                   std::exp2(static_cast<double>(failures - kFailuresToEject));
+  return now + FromSeconds(std::min(doubled, kMaxEjection.count()));
 }
 
-uint64_t Preference(const std::string& address, uint64_t affinity) {
+uint64_t RendezvousWeight(const std::string& address, uint64_t affinity) {
   return StableHash(address, affinity);
 }
 
 }  // namespace
 
-EndpointPool::Shard& EndpointPool::ShardOf(const std::string& target) const {
+EndpointPool::Shard& EndpointPool::ShardFor(const std::string& target) const {
   return shards_[StableHash(target) % kShards];
 }
 
 template <typename Function>
-void EndpointPool::With(const std::string& address, Function function) const {
-  std::string target = TargetOf(address);
-  Shard& shard = ShardOf(target);
+void EndpointPool::WithEndpoint(const std::string& address,
+                                Function function) const {
+  std::string target = FindTarget(address);
+  Shard& shard = ShardFor(target);
   std::lock_guard<std::mutex> lock(shard.mutex);
   auto endpoints = shard.targets.find(target);
   if (endpoints == shard.targets.end()) return;
@@ -53,13 +55,13 @@
   if (endpoint != endpoints->second.end()) function(&endpoint->second);
 }
 
-void EndpointPool::Merge(const ListedEndpoint& listed, TimePoint now,
-                         Endpoint* endpoint) {
+void EndpointPool::UpdateListed(const ListedEndpoint& listed, TimePoint now,
+                                Endpoint* endpoint) {
   endpoint->listed = listed;
-  endpoint->in_list = true;
+  endpoint->is_listed = true;
   // The list lags: it may still say live after the endpoint said it leaves.
-  bool forget = now - endpoint->leaving_since > kLeavingMemory;
-  if (endpoint->leaving && forget) endpoint->leaving = false;
+  bool expired = now - endpoint->leaving_since > kLeavingRetention;
+  if (endpoint->leaving && expired) endpoint->leaving = false;
 }
 
 void EndpointPool::SetListed(const std::vector<ListedEndpoint>& endpoints,
@@ -69,11 +71,11 @@
     // A shard changes under one lock: a request must never see it half listed.
     std::lock_guard<std::mutex> lock(shard.mutex);
     for (auto& target : shard.targets) {
-      for (auto& entry : target.second) entry.second.in_list = false;
+      for (auto& entry : target.second) entry.second.is_listed = false;
     }
     for (const ListedEndpoint& listed : endpoints) {
-      if (&ShardOf(listed.target) != &shard) continue;
-      Merge(listed, now, &shard.targets[listed.target][listed.address]);
+      if (&ShardFor(listed.target) != &shard) continue;
+      UpdateListed(listed, now, &shard.targets[listed.target][listed.address]);
     }
     Prune(&shard, &by_address);
   }
@@ -82,38 +84,41 @@
 }
 
 void EndpointPool::Put(const ListedEndpoint& endpoint, TimePoint now) {
-  std::string before = TargetOf(endpoint.address);
+  std::string before = FindTarget(endpoint.address);
   // Requests that still run there count for the target that it has now.
   if (!before.empty() && before != endpoint.target) {
-    Shard& old = ShardOf(before);
+    Shard& old = ShardFor(before);
     std::lock_guard<std::mutex> lock(old.mutex);
     old.targets[before].erase(endpoint.address);
   }
   {
-    Shard& shard = ShardOf(endpoint.target);
+    Shard& shard = ShardFor(endpoint.target);
     std::lock_guard<std::mutex> lock(shard.mutex);
-    Merge(endpoint, now, &shard.targets[endpoint.target][endpoint.address]);
+    UpdateListed(endpoint, now,
+                 &shard.targets[endpoint.target][endpoint.address]);
   }
   std::lock_guard<std::mutex> lock(address_mutex_);
   target_by_address_[endpoint.address] = endpoint.target;
 }
 
 void EndpointPool::Remove(const std::string& address) {
-  With(address, [](Endpoint* endpoint) { endpoint->in_list = false; });
+  WithEndpoint(address,
+               [](Endpoint* endpoint) { endpoint->is_listed = false; });
   DropUnused(address);
 }
 
 void EndpointPool::DropUnused(const std::string& address) {
-  std::string target = TargetOf(address);
+  std::string target = FindTarget(address);
   {
-    Shard& shard = ShardOf(target);
+    Shard& shard = ShardFor(target);
     std::lock_guard<std::mutex> lock(shard.mutex);
     auto endpoints = shard.targets.find(target);
     if (endpoints == shard.targets.end()) return;
     auto endpoint = endpoints->second.find(address);
-    bool is_known = endpoint != endpoints->second.end();
-    if (!is_known) return;
-    if (endpoint->second.in_list || endpoint->second.own > 0) return;
+    bool is_found = endpoint != endpoints->second.end();
+    if (!is_found) return;
+    if (endpoint->second.is_listed || endpoint->second.own_in_flight > 0)
+      return;
     endpoints->second.erase(endpoint);
   }
   std::lock_guard<std::mutex> lock(address_mutex_);
@@ -124,69 +129,70 @@
                          std::map<std::string, std::string>* by_address) {
   for (auto& target : shard->targets) {
     for (auto entry = target.second.begin(); entry != target.second.end();) {
-      bool keep = entry->second.in_list || entry->second.own > 0;
+      bool keep = entry->second.is_listed || entry->second.own_in_flight > 0;
       if (keep) (*by_address)[entry->first] = target.first;
       entry = keep ? std::next(entry) : target.second.erase(entry);
     }
   }
 }
 
-void EndpointPool::Reported(const std::string& address,
-                            const LoadReport& report, TimePoint now) {
-  With(address, [&report, now](Endpoint* endpoint) {
+void EndpointPool::RecordReport(const std::string& address,
+                                const LoadReport& report, TimePoint now) {
+  WithEndpoint(address, [&report, now](Endpoint* endpoint) {
     double all = static_cast<double>(report.running + report.queued);
-    endpoint->others = std::max(0.0, all - static_cast<double>(endpoint->own));
-    endpoint->reported = now;
+    endpoint->others_in_flight =
+        std::max(0.0, all - static_cast<double>(endpoint->own_in_flight));
+    endpoint->reported_at = now;
     if (!report.leaving || endpoint->leaving) return;
     endpoint->leaving = true;
     endpoint->leaving_since = now;
   });
 }
 
-void EndpointPool::ReadReport(const std::string& address,
-                              const LoadReport& report, TimePoint now) {
-  Reported(address, report, now);
-  With(address, [&report, now](Endpoint* endpoint) {
-    endpoint->read = report;
-    endpoint->read_at = now;
+void EndpointPool::RecordOwnReport(const std::string& address,
+                                   const LoadReport& report, TimePoint now) {
+  RecordReport(address, report, now);
+  WithEndpoint(address, [&report, now](Endpoint* endpoint) {
+    endpoint->own_report = report;
+    endpoint->own_report_at = now;
   });
 }
 
-bool EndpointPool::NoteOf(const std::string& address, TimePoint now,
-                          EndpointNote* note) const {
+bool EndpointPool::FillNote(const std::string& address, TimePoint now,
+                            EndpointNote* note) const {
   bool recent = false;
-  With(address, [&](Endpoint* endpoint) {
-    recent = now - endpoint->read_at < kNoteAge;
+  WithEndpoint(address, [&](Endpoint* endpoint) {
+    recent = now - endpoint->own_report_at < kMaxNoteAge;
     note->set_address(address);
-    note->set_running(static_cast<uint32_t>(endpoint->read.running));
-    note->set_queued(static_cast<uint32_t>(endpoint->read.queued));
+    note->set_running(static_cast<uint32_t>(endpoint->own_report.running));
+    note->set_queued(static_cast<uint32_t>(endpoint->own_report.queued));
     note->set_leaving(endpoint->leaving);
   });
   return recent;
 }
 
-bool EndpointPool::Usable(const Endpoint& endpoint) {
-  return endpoint.in_list && !endpoint.leaving && !endpoint.listed.leaving;
+bool EndpointPool::IsUsable(const Endpoint& endpoint) {
+  return endpoint.is_listed && !endpoint.leaving && !endpoint.listed.leaving;
 }
 
-double EndpointPool::LoadOf(const Endpoint& endpoint, TimePoint now) {
-  double age = ToSeconds(now - endpoint.reported);
-  double weight = std::exp2(-age / kReportHalfLife.count());
-  double requests =
-      static_cast<double>(endpoint.own) + weight * endpoint.others;
-  double places =
-      static_cast<double>(std::max<size_t>(1, endpoint.listed.places));
-  return requests / places;
+double EndpointPool::ComputeLoad(const Endpoint& endpoint, TimePoint now) {
+  double age = ToSeconds(now - endpoint.reported_at);
+  double weight = std::exp2(-age / kLoadReportHalfLife.count());
+  double requests = static_cast<double>(endpoint.own_in_flight) +
+                    weight * endpoint.others_in_flight;
+  double max_in_flight =
+      static_cast<double>(std::max<size_t>(1, endpoint.listed.max_in_flight));
+  return requests / max_in_flight;
 }
 
-std::vector<const EndpointPool::Endpoint*> EndpointPool::Candidates(
+std::vector<const EndpointPool::Endpoint*> EndpointPool::FindCandidates(
     const Endpoints& endpoints, const std::set<std::string>& excluded,
     TimePoint now, const Filter& allowed) {
   std::vector<const Endpoint*> usable;
   std::vector<const Endpoint*> healthy;
   for (const auto& entry : endpoints) {
     const Endpoint& endpoint = entry.second;
-    if (!Usable(endpoint) || excluded.count(entry.first) > 0) continue;
+    if (!IsUsable(endpoint) || excluded.count(entry.first) > 0) continue;
     if (allowed && !allowed(endpoint.listed)) continue;
     usable.push_back(&endpoint);
     if (endpoint.ejected_until <= now) healthy.push_back(&endpoint);
@@ -194,14 +200,14 @@
   double share =
       1 - static_cast<double>(healthy.size()) /
               static_cast<double>(std::max<size_t>(1, usable.size()));
-  return share > kPanicShare ? usable : healthy;
+  return share > kPanicThreshold ? usable : healthy;
 }
 
 EndpointPool::Choice EndpointPool::Pick(const std::string& target,
                                         uint64_t affinity,
                                         const std::set<std::string>& excluded,
                                         TimePoint now) const {
-  Shard& shard = ShardOf(target);
+  Shard& shard = ShardFor(target);
   std::lock_guard<std::mutex> lock(shard.mutex);
   auto endpoints = shard.targets.find(target);
   if (endpoints == shard.targets.end()) return Choice();
@@ -210,20 +216,20 @@
   uint64_t highest = 0;
   double least_load = 0;
   for (const Endpoint* endpoint :
-       Candidates(endpoints->second, excluded, now)) {
-    double load = LoadOf(*endpoint, now);
+       FindCandidates(endpoints->second, excluded, now)) {
+    double load = ComputeLoad(*endpoint, now);
     if (least == nullptr || load < least_load) {
       least = endpoint;
       least_load = load;
     }
-    uint64_t preference = Preference(endpoint->listed.address, affinity);
+    uint64_t preference = RendezvousWeight(endpoint->listed.address, affinity);
     if (preferred != nullptr && preference <= highest) continue;
     preferred = endpoint;
     highest = preference;
   }
   if (least == nullptr) return Choice();
-  double preferred_load = LoadOf(*preferred, now);
-  if (preferred_load <= least_load + kAffinitySlack) {
+  double preferred_load = ComputeLoad(*preferred, now);
+  if (preferred_load <= least_load + kAffinityLoadSlack) {
     return Choice{preferred->listed.address, preferred_load};
   }
   return Choice{least->listed.address, least_load};
@@ -232,14 +238,14 @@
 EndpointPool::Choice EndpointPool::PickLeastLoaded(
     const std::string& target, const std::set<std::string>& excluded,
     TimePoint now) const {
-  Shard& shard = ShardOf(target);
+  Shard& shard = ShardFor(target);
   std::lock_guard<std::mutex> lock(shard.mutex);
   Choice choice;
   auto endpoints = shard.targets.find(target);
   if (endpoints == shard.targets.end()) return choice;
   for (const Endpoint* endpoint :
-       Candidates(endpoints->second, excluded, now)) {
-    double load = LoadOf(*endpoint, now);
+       FindCandidates(endpoints->second, excluded, now)) {
+    double load = ComputeLoad(*endpoint, now);
     if (!choice.address.empty() && load >= choice.load) continue;
     choice = Choice{endpoint->listed.address, load};
   }
@@ -250,15 +256,15 @@
     const std::string& target, uint64_t affinity,
     const std::set<std::string>& excluded, TimePoint now, const Filter& allowed,
     const Cost& cost) const {
-  Shard& shard = ShardOf(target);
+  Shard& shard = ShardFor(target);
   std::lock_guard<std::mutex> lock(shard.mutex);
   auto endpoints = shard.targets.find(target);
   if (endpoints == shard.targets.end()) return Choice();
-  auto candidates = Candidates(endpoints->second, excluded, now, allowed);
+  auto candidates = FindCandidates(endpoints->second, excluded, now, allowed);
   std::vector<uint64_t> preferences;
   preferences.reserve(candidates.size());
   for (const Endpoint* endpoint : candidates) {
-    preferences.push_back(Preference(endpoint->listed.address, affinity));
+    preferences.push_back(RendezvousWeight(endpoint->listed.address, affinity));
   }
   uint64_t highest = 0;
   for (uint64_t preference : preferences) {
@@ -268,41 +274,44 @@
   double least = 0;
   uint64_t chosen_preference = 0;
   for (size_t i = 0; i < candidates.size(); ++i) {
-    double its_cost = cost(candidates[i]->listed, preferences[i] == highest);
-    bool better = chosen == nullptr || its_cost < least ||
-                  (its_cost == least && preferences[i] > chosen_preference);
+    double candidate_cost =
+        cost(candidates[i]->listed, preferences[i] == highest);
+    bool better =
+        chosen == nullptr || candidate_cost < least ||
+        (candidate_cost == least && preferences[i] > chosen_preference);
     if (!better) continue;
     chosen = candidates[i];
-    least = its_cost;
+    least = candidate_cost;
     chosen_preference = preferences[i];
   }
   if (chosen == nullptr) return Choice();
-  return Choice{chosen->listed.address, LoadOf(*chosen, now)};
+  return Choice{chosen->listed.address, ComputeLoad(*chosen, now)};
 }
 
-void EndpointPool::Started(const std::string& address) {
-  With(address, [](Endpoint* endpoint) { ++endpoint->own; });
+void EndpointPool::RecordStart(const std::string& address) {
+  WithEndpoint(address, [](Endpoint* endpoint) { ++endpoint->own_in_flight; });
 }
 
-void EndpointPool::Ended(const std::string& address, bool good, TimePoint now) {
-  bool is_over = false;
-  With(address, [good, now, &is_over](Endpoint* endpoint) {
-    if (endpoint->own > 0) --endpoint->own;
-    is_over = !endpoint->in_list && endpoint->own == 0;
+void EndpointPool::RecordCompletion(const std::string& address, bool good,
+                                    TimePoint now) {
+  bool is_unused = false;
+  WithEndpoint(address, [good, now, &is_unused](Endpoint* endpoint) {
+    if (endpoint->own_in_flight > 0) --endpoint->own_in_flight;
+    is_unused = !endpoint->is_listed && endpoint->own_in_flight == 0;
     if (good) {
-      endpoint->failures = 0;
+      endpoint->consecutive_failures = 0;
       endpoint->ejected_until = TimePoint{};
       return;
     }
-    ++endpoint->failures;
-    if (endpoint->failures < kFailures) return;
-    endpoint->ejected_until = EjectedUntil(endpoint->failures, now);
+    ++endpoint->consecutive_failures;
+    if (endpoint->consecutive_failures < kFailuresToEject) return;
+    endpoint->ejected_until = EjectionEnd(endpoint->consecutive_failures, now);
   });
-  if (is_over) DropUnused(address);
+  if (is_unused) DropUnused(address);
 }
 
-void EndpointPool::Leaving(const std::string& address, TimePoint now) {
-  With(address, [now](Endpoint* endpoint) {
+void EndpointPool::MarkLeaving(const std::string& address, TimePoint now) {
+  WithEndpoint(address, [now](Endpoint* endpoint) {
     if (!endpoint->leaving) endpoint->leaving_since = now;
     endpoint->leaving = true;
   });
@@ -310,33 +319,34 @@
 
 bool EndpointPool::AnyListed(const std::string& target,
                              const Filter& filter) const {
-  Shard& shard = ShardOf(target);
+  Shard& shard = ShardFor(target);
   std::lock_guard<std::mutex> lock(shard.mutex);
   auto endpoints = shard.targets.find(target);
   if (endpoints == shard.targets.end()) return false;
   for (const auto& entry : endpoints->second) {
     const Endpoint& endpoint = entry.second;
-    bool stays =
-        endpoint.in_list && !endpoint.listed.leaving && !endpoint.leaving;
-    if (stays && filter(endpoint.listed)) return true;
+    bool remains_listed =
+        endpoint.is_listed && !endpoint.listed.leaving && !endpoint.leaving;
+    if (remains_listed && filter(endpoint.listed)) return true;
   }
   return false;
 }
 
-bool EndpointPool::Serves(const std::string& target, TimePoint now) const {
+bool EndpointPool::HasUsable(const std::string& target, TimePoint now) const {
   return !PickLeastLoaded(target, {}, now).address.empty();
 }
 
-size_t EndpointPool::Places(const std::string& target, TimePoint now) const {
-  Shard& shard = ShardOf(target);
+size_t EndpointPool::TotalMaxInFlight(const std::string& target,
+                                      TimePoint now) const {
+  Shard& shard = ShardFor(target);
   std::lock_guard<std::mutex> lock(shard.mutex);
   auto endpoints = shard.targets.find(target);
   if (endpoints == shard.targets.end()) return 0;
-  size_t places = 0;
-  for (const Endpoint* endpoint : Candidates(endpoints->second, {}, now)) {
-    places += endpoint->listed.places;
+  size_t max_in_flight = 0;
+  for (const Endpoint* endpoint : FindCandidates(endpoints->second, {}, now)) {
+    max_in_flight += endpoint->listed.max_in_flight;
   }
-  return places;
+  return max_in_flight;
 }
 
 std::vector<std::string> EndpointPool::addresses() const {
@@ -346,15 +356,16 @@
   return all;
 }
 
-std::string EndpointPool::TargetOf(const std::string& address) const {
+std::string EndpointPool::FindTarget(const std::string& address) const {
   std::lock_guard<std::mutex> lock(address_mutex_);
   auto found = target_by_address_.find(address);
   return found == target_by_address_.end() ? "" : found->second;
 }
 
-size_t EndpointPool::OwnRequests(const std::string& address) const {
+size_t EndpointPool::OwnInFlight(const std::string& address) const {
   size_t own = 0;
-  With(address, [&own](Endpoint* endpoint) { own = endpoint->own; });
+  WithEndpoint(address,
+               [&own](Endpoint* endpoint) { own = endpoint->own_in_flight; });
   return own;
 }
 
--- a/leverwick/endpoints.h
+++ b/leverwick/endpoint_pool.h
@@ -9,10 +9,11 @@
 //   EndpointPool pool;
 //   pool.SetListed(endpoints, now);
 //   EndpointPool::Choice choice = pool.Pick({"swift", "3"}, prefix, {}, now);
-//   pool.Started(choice.address); ... pool.Ended(choice.address, ok, now);
+//   pool.RecordStart(choice.address); ... pool.RecordCompletion(choice.address,
+//   ok, now);
 
-#ifndef LEVERWICK_ENDPOINTS_H_
-#define LEVERWICK_ENDPOINTS_H_
+#ifndef LEVERWICK_ENDPOINT_POOL_H_
+#define LEVERWICK_ENDPOINT_POOL_H_
 
 #include <array>
 #include <cstdint>
@@ -33,8 +34,8 @@
   std::string address;  // ip:port
   std::string target;   // "model@version", or "service/NAME"
   std::string data_centre;
-  std::string version;  // of its software; may be empty
-  size_t places = 1;    // requests it serves at once
+  std::string version;       // of its software; may be empty
+  size_t max_in_flight = 1;  // requests it serves at once
   bool leaving = false;
 };
 
@@ -49,7 +50,7 @@
  public:
   struct Choice {
     std::string address;  // empty: no endpoint may take it
-    double load = 0;      // requests over places, of the endpoint chosen
+    double load = 0;      // requests over max_in_flight, of the endpoint chosen
   };
 
   // Replaces what the platform lists. Endpoints that vanish are kept while
@@ -62,8 +63,8 @@
   void Remove(const std::string& address);
 
   // An endpoint's own report, or a peer's note of it.
-  void Reported(const std::string& address, const LoadReport& report,
-                TimePoint now);
+  void RecordReport(const std::string& address, const LoadReport& report,
+                    TimePoint now);
 
   // Picks an endpoint for `target`. `affinity` is a hash of organisation and
   // prompt prefix; `excluded` were tried already.
@@ -85,48 +86,48 @@
                          const std::set<std::string>& excluded,
                          TimePoint now) const;
 
-  void Started(const std::string& address);
+  void RecordStart(const std::string& address);
   // `good`: the endpoint answered; false ejects it after repeated failures.
-  void Ended(const std::string& address, bool good, TimePoint now);
+  void RecordCompletion(const std::string& address, bool good, TimePoint now);
 
   // The endpoint says that it is leaving, or it refused connections.
-  void Leaving(const std::string& address, TimePoint now);
+  void MarkLeaving(const std::string& address, TimePoint now);
 
   // Whether any endpoint of the target may take work.
-  bool Serves(const std::string& target, TimePoint now) const;
+  bool HasUsable(const std::string& target, TimePoint now) const;
 
   // Whether an endpoint of the target that is listed and does not leave is one
   // that `filter` takes, also if it can't be used now.
   bool AnyListed(const std::string& target, const Filter& filter) const;
 
   // Places of a target's usable endpoints.
-  size_t Places(const std::string& target, TimePoint now) const;
+  size_t TotalMaxInFlight(const std::string& target, TimePoint now) const;
 
   // What to tell peers of an endpoint: this box's newest report of it. False
   // when it has none that is recent.
-  bool NoteOf(const std::string& address, TimePoint now,
-              EndpointNote* note) const;
+  bool FillNote(const std::string& address, TimePoint now,
+                EndpointNote* note) const;
 
   // A report this box read itself, which NoteOf passes on.
-  void ReadReport(const std::string& address, const LoadReport& report,
-                  TimePoint now);
+  void RecordOwnReport(const std::string& address, const LoadReport& report,
+                       TimePoint now);
 
   std::vector<std::string> addresses() const;
-  std::string TargetOf(const std::string& address) const;
-  size_t OwnRequests(const std::string& address) const;
+  std::string FindTarget(const std::string& address) const;
+  size_t OwnInFlight(const std::string& address) const;
 
  private:
   struct Endpoint {
     ListedEndpoint listed;
-    bool in_list = true;
-    size_t own = 0;
-    double others = 0;  // others' requests at the report
-    TimePoint reported{};
-    LoadReport read;  // by this box, passed on to peers
-    TimePoint read_at{};
+    bool is_listed = true;
+    size_t own_in_flight = 0;
+    double others_in_flight = 0;  // others' requests at the report
+    TimePoint reported_at{};
+    LoadReport own_report;  // by this box, passed on to peers
+    TimePoint own_report_at{};
     bool leaving = false;  // by its own word
     TimePoint leaving_since{};
-    size_t failures = 0;  // in a row
+    size_t consecutive_failures = 0;  // in a row
     TimePoint ejected_until{};
   };
   using Endpoints = std::map<std::string, Endpoint>;
@@ -136,21 +137,21 @@
   };
   static constexpr size_t kShards = 16;
 
-  Shard& ShardOf(const std::string& target) const;
+  Shard& ShardFor(const std::string& target) const;
   // Drops an endpoint that is neither listed nor in use.
   void DropUnused(const std::string& address);
   template <typename Function>
-  void With(const std::string& address, Function function) const;
+  void WithEndpoint(const std::string& address, Function function) const;
   // Drops what is neither listed nor in use; adds the rest to `by_address`.
   static void Prune(Shard* shard,
                     std::map<std::string, std::string>* by_address);
-  static bool Usable(const Endpoint& endpoint);
-  static double LoadOf(const Endpoint& endpoint, TimePoint now);
-  static std::vector<const Endpoint*> Candidates(
+  static bool IsUsable(const Endpoint& endpoint);
+  static double ComputeLoad(const Endpoint& endpoint, TimePoint now);
+  static std::vector<const Endpoint*> FindCandidates(
       const Endpoints& endpoints, const std::set<std::string>& excluded,
       TimePoint now, const Filter& allowed = nullptr);
-  static void Merge(const ListedEndpoint& listed, TimePoint now,
-                    Endpoint* endpoint);
+  static void UpdateListed(const ListedEndpoint& listed, TimePoint now,
+                           Endpoint* endpoint);
 
   mutable std::mutex address_mutex_;
   std::map<std::string, std::string> target_by_address_;
@@ -159,4 +160,4 @@
 
 }  // namespace leverwick
 
-#endif  // LEVERWICK_ENDPOINTS_H_
+#endif  // LEVERWICK_ENDPOINT_POOL_H_
--- a/leverwick/engine_loads.cc
+++ b/leverwick/engine_loads.cc
@@ -1,4 +1,4 @@
-// The pace of a kind is the fast side of what was seen: an estimate falls at
+// The model of a kind is the fast side of what was seen: an estimate falls at
 // once to a faster answer's and rises slowly to slower ones, so that delays
 // are not learned as normal.
 
@@ -14,36 +14,36 @@
 
 // Parts sent within this are taken to be kept still: engines of the present
 // sites read their whole memory's worth of tokens in 30 s and more.
-constexpr std::chrono::seconds kKept{20};
+constexpr std::chrono::seconds kCacheRetention{20};
 // What other boxes are taken to have had read at the preferred endpoint, of
 // parts that this box knows nothing of. Serves where some boxes don't tell.
-constexpr double kReadByOthers = 0.5;
+constexpr double kAssumedPeerCachedShare = 0.5;
 // Reading a token here delays the requests beside it as well.
-constexpr double kHoldsUpOthers = 6;
+constexpr double kPrefillInterference = 6;
 // Delays below this are the engines' ordinary unevenness.
-constexpr double kOrdinaryDelay = 0.3;  // seconds
+constexpr double kDelayTolerance = 0.3;  // seconds
 // A delay that was seen counts half after this time.
 constexpr double kDelayHalfLife = 1.0;  // seconds
 // Weight of a new answer in an endpoint's delay.
-constexpr double kDelayWeight = 0.5;
-// What part of the way a kind's pace goes to a slower answer's, and to a faster
-// one's.
-constexpr double kPaceRise = 0.02;
-constexpr double kPaceFall = 0.3;
-// Answers whose prompts are at least this long tell the pace of reading.
-constexpr double kLongPrompt = 1000;  // tokens
+constexpr double kDelaySmoothing = 0.5;
+// What part of the way a kind's model goes to a slower answer's, and to a
+// faster one's.
+constexpr double kLatencyRiseRate = 0.02;
+constexpr double kLatencyFallRate = 0.3;
+// Answers whose prompts are at least this long tell the model of reading.
+constexpr double kLongPromptTokens = 1000;  // tokens
 // An endpoint that failed is avoided like one that is so much later, fading.
 constexpr double kFailureDelay = 3;  // seconds
 // A delay that has faded to this no longer tells endpoints apart.
-constexpr double kForgottenDelay = 0.01;  // seconds
+constexpr double kNegligibleDelay = 0.01;  // seconds
 // So many endpoints of a data centre failing, and none answering, is a cut
 // rather than their own fault. While it is avoided, a request that finds no
 // place elsewhere still goes there and shows whether it is over.
-constexpr size_t kCutOffEndpoints = 3;
-constexpr std::chrono::seconds kCutOffTime{2};
-constexpr double kCutOffDelay = 1;  // seconds
+constexpr size_t kPartitionEndpoints = 3;
+constexpr std::chrono::seconds kPartitionMemory{2};
+constexpr double kPartitionDelay = 1;  // seconds
 // One request beside another slows both a little.
-constexpr double kBeside = 0.002;  // seconds
+constexpr double kConcurrencyDelay = 0.002;  // seconds
 
 uint64_t PartKey(const std::string& model, const std::string& part) {
   return StableHash(part, StableHash(model));
@@ -51,211 +51,222 @@
 
 }  // namespace
 
-double EngineLoads::UnreadTokens(const std::string& endpoint,
-                                 const EngineWork& work, bool preferred,
-                                 TimePoint now) const {
+double EngineLoads::UncachedTokens(const std::string& endpoint,
+                                   const EngineWork& work, bool preferred,
+                                   TimePoint now) const {
   if (work.prompt == nullptr) return 0;
   auto found = endpoints_.find(endpoint);
-  auto is_kept = [&](const PromptPart& part) {
+  auto is_cached = [&](const PromptPart& part) {
     if (found == endpoints_.end()) return false;
-    auto sent = found->second.parts.find(PartKey(work.model, part.id));
-    return sent != found->second.parts.end() && now - sent->second < kKept;
+    auto sent = found->second.cached_parts.find(PartKey(work.model, part.id));
+    return sent != found->second.cached_parts.end() &&
+           now - sent->second < kCacheRetention;
   };
-  double unread = 0;
-  bool kept = true;  // a part counts only if every part before it is kept
+  double uncached_tokens = 0;
+  bool all_cached = true;  // a part counts only if every part before it is kept
   for (size_t i = 0; i < work.prompt->size(); ++i) {
     const PromptPart& part = (*work.prompt)[i];
-    kept = kept && is_kept(part);
-    if (kept) continue;
+    all_cached = all_cached && is_cached(part);
+    if (all_cached) continue;
     bool shared = i + 1 < work.prompt->size();
-    double share = preferred && shared ? 1 - kReadByOthers : 1;
-    unread += share * static_cast<double>(part.tokens);
+    double share = preferred && shared ? 1 - kAssumedPeerCachedShare : 1;
+    uncached_tokens += share * static_cast<double>(part.tokens);
   }
-  return unread;
+  return uncached_tokens;
 }
 
-double EngineLoads::Delay(const Endpoint& endpoint, TimePoint now) {
+double EngineLoads::DecayedDelay(const Endpoint& endpoint, TimePoint now) {
   double age = ToSeconds(now - endpoint.delay_at);
   return endpoint.delay * std::exp2(-age / kDelayHalfLife);
 }
 
-const EngineLoads::Pace& EngineLoads::PaceOf(const std::string& kind) const {
-  static const Pace unknown;
-  auto found = paces_.find(kind);
-  return found == paces_.end() ? unknown : found->second;
+const EngineLoads::LatencyModel& EngineLoads::LatencyModelFor(
+    const std::string& kind) const {
+  static const LatencyModel unknown;
+  auto found = latency_models_.find(kind);
+  return found == latency_models_.end() ? unknown : found->second;
 }
 
 Seconds EngineLoads::ExpectedWait(const std::string& endpoint,
                                   const EngineWork& work, bool preferred,
                                   TimePoint now) const {
-  const Pace& pace = PaceOf(work.kind);
-  double unread = UnreadTokens(endpoint, work, preferred, now);
-  double wait = pace.seconds + ReadingAt(endpoint).count() +
-                kHoldsUpOthers * unread * pace.seconds_per_token;
+  const LatencyModel& model = LatencyModelFor(work.kind);
+  double uncached_tokens = UncachedTokens(endpoint, work, preferred, now);
+  double wait =
+      model.base_seconds + PendingPrefill(endpoint).count() +
+      kPrefillInterference * uncached_tokens * model.seconds_per_token;
   auto found = endpoints_.find(endpoint);
   if (found == endpoints_.end()) return Seconds(wait);
-  double beside = kBeside * static_cast<double>(found->second.waiting.size());
-  return Seconds(wait + beside) + DelayAt(endpoint, now);
+  double concurrency_delay =
+      kConcurrencyDelay *
+      static_cast<double>(found->second.awaiting_response.size());
+  return Seconds(wait + concurrency_delay) + ObservedDelay(endpoint, now);
 }
 
-Seconds EngineLoads::OwnBegin(const std::string& endpoint,
-                              const EngineWork& work, TimePoint now) const {
-  const Pace& pace = PaceOf(work.kind);
-  double unread = UnreadTokens(endpoint, work, false, now);
-  return Seconds(pace.seconds + unread * pace.seconds_per_token);
+Seconds EngineLoads::UnloadedWait(const std::string& endpoint,
+                                  const EngineWork& work, TimePoint now) const {
+  const LatencyModel& model = LatencyModelFor(work.kind);
+  double uncached_tokens = UncachedTokens(endpoint, work, false, now);
+  return Seconds(model.base_seconds +
+                 uncached_tokens * model.seconds_per_token);
 }
 
-Seconds EngineLoads::DelayAt(const std::string& endpoint, TimePoint now) const {
+Seconds EngineLoads::ObservedDelay(const std::string& endpoint,
+                                   TimePoint now) const {
   auto found = endpoints_.find(endpoint);
   if (found == endpoints_.end()) return Seconds(0);
   const Endpoint& known = found->second;
   double waited = 0;
-  if (!known.waiting.empty()) {
-    const Pending& oldest = pending_.at(known.waiting.begin()->first);
-    waited = ToSeconds(now - oldest.sent) - oldest.expected;
+  if (!known.awaiting_response.empty()) {
+    const Pending& oldest = pending_.at(known.awaiting_response.begin()->first);
+    waited = ToSeconds(now - oldest.sent) - oldest.expected_wait;
   }
-  double delay = std::max(Delay(known, now), waited);
-  return Seconds(std::max(0.0, delay - kOrdinaryDelay));
+  double delay = std::max(DecayedDelay(known, now), waited);
+  return Seconds(std::max(0.0, delay - kDelayTolerance));
 }
 
-Seconds EngineLoads::ReadingAt(const std::string& endpoint) const {
+Seconds EngineLoads::PendingPrefill(const std::string& endpoint) const {
   auto found = endpoints_.find(endpoint);
-  Seconds own(found == endpoints_.end() ? 0 : found->second.reading);
+  Seconds own(found == endpoints_.end() ? 0 : found->second.prefill_seconds);
   return own + peer_prompts_.ReadingAt(endpoint);
 }
 
-uint64_t EngineLoads::Sent(const std::string& endpoint, const EngineWork& work,
-                           TimePoint now) {
+uint64_t EngineLoads::RecordSend(const std::string& endpoint,
+                                 const EngineWork& work, TimePoint now) {
   uint64_t ticket = ++last_ticket_;
   Pending pending;
   pending.endpoint = endpoint;
   pending.kind = work.kind;
-  pending.unread = UnreadTokens(endpoint, work, false, now);
+  pending.uncached_tokens = UncachedTokens(endpoint, work, false, now);
   pending.sent = now;
-  const Pace& pace = PaceOf(work.kind);
-  pending.reading = pending.unread * pace.seconds_per_token;
-  pending.expected =
-      pace.seconds + pending.reading + ReadingAt(endpoint).count();
-  Endpoint& into = endpoints_[endpoint];
-  into.waiting[ticket] = now;
-  into.reading += pending.reading;
+  const LatencyModel& model = LatencyModelFor(work.kind);
+  pending.prefill_seconds = pending.uncached_tokens * model.seconds_per_token;
+  pending.expected_wait = model.base_seconds + pending.prefill_seconds +
+                          PendingPrefill(endpoint).count();
+  Endpoint& target = endpoints_[endpoint];
+  target.awaiting_response[ticket] = now;
+  target.prefill_seconds += pending.prefill_seconds;
   pending_[ticket] = std::move(pending);
-  if (work.prompt != nullptr) Keep(ticket, work, now);
+  if (work.prompt != nullptr) RecordCachedParts(ticket, work, now);
   return ticket;
 }
 
-void EngineLoads::Keep(uint64_t ticket, const EngineWork& work, TimePoint now) {
+void EngineLoads::RecordCachedParts(uint64_t ticket, const EngineWork& work,
+                                    TimePoint now) {
   SentPrompt sent;
   sent.ticket = ticket;
   sent.endpoint = pending_.at(ticket).endpoint;
-  sent.reading = ReadingOf(ticket);
-  auto& kept = endpoints_[sent.endpoint].parts;
+  sent.reading = ExpectedPrefill(ticket);
+  auto& cached = endpoints_[sent.endpoint].cached_parts;
   for (const PromptPart& part : *work.prompt) {
     uint64_t key = PartKey(work.model, part.id);
-    kept[key] = now;
+    cached[key] = now;
     sent.parts.push_back(key);
   }
   // No other box's prompt has the last part, which is the request's own.
   if (!sent.parts.empty()) sent.parts.pop_back();
   if (observer_ == nullptr) return;
-  pending_.at(ticket).told = true;
-  observer_->OnSent(sent);
+  pending_.at(ticket).observer_notified = true;
+  observer_->OnPromptSent(sent);
 }
 
-void EngineLoads::PeerSent(const SentPrompt& prompt, TimePoint now) {
+void EngineLoads::RecordPeerSend(const SentPrompt& prompt, TimePoint now) {
   peer_prompts_.Sent(prompt, now);
   if (prompt.parts.empty()) return;
-  auto& kept = endpoints_[prompt.endpoint].parts;
-  for (uint64_t part : prompt.parts) kept[part] = now;
+  auto& cached = endpoints_[prompt.endpoint].cached_parts;
+  for (uint64_t part : prompt.parts) cached[part] = now;
 }
 
-Seconds EngineLoads::ReadingOf(uint64_t ticket) const {
+Seconds EngineLoads::ExpectedPrefill(uint64_t ticket) const {
   auto found = pending_.find(ticket);
-  return Seconds(found == pending_.end() ? 0 : found->second.reading);
+  return Seconds(found == pending_.end() ? 0 : found->second.prefill_seconds);
 }
 
-void EngineLoads::Learn(const Pending& pending, double took) {
-  Pace& pace = paces_[pending.kind];
-  auto move = [](double* value, double seen) {
-    *value += (seen < *value ? kPaceFall : kPaceRise) * (seen - *value);
+void EngineLoads::UpdateLatencyModel(const Pending& pending, double elapsed) {
+  LatencyModel& model = latency_models_[pending.kind];
+  auto smooth = [](double* value, double sample) {
+    *value += (sample < *value ? kLatencyFallRate : kLatencyRiseRate) *
+              (sample - *value);
   };
-  if (pending.unread < kLongPrompt) {
-    move(&pace.seconds, took);
+  if (pending.uncached_tokens < kLongPromptTokens) {
+    smooth(&model.base_seconds, elapsed);
   } else {
-    double reading = std::max(0.0, took - pace.seconds);
-    move(&pace.seconds_per_token, reading / pending.unread);
+    double prefill = std::max(0.0, elapsed - model.base_seconds);
+    smooth(&model.seconds_per_token, prefill / pending.uncached_tokens);
   }
 }
 
-void EngineLoads::Began(uint64_t ticket, TimePoint now) {
+void EngineLoads::RecordResponseStart(uint64_t ticket, TimePoint now) {
   auto found = pending_.find(ticket);
   if (found == pending_.end()) return;
   const Pending& pending = found->second;
-  double took = ToSeconds(now - pending.sent);
+  double elapsed = ToSeconds(now - pending.sent);
   Endpoint& endpoint = endpoints_[pending.endpoint];
-  double late = std::max(0.0, took - pending.expected);
-  endpoint.delay += kDelayWeight * (late - Delay(endpoint, now));
+  double lateness = std::max(0.0, elapsed - pending.expected_wait);
+  endpoint.delay += kDelaySmoothing * (lateness - DecayedDelay(endpoint, now));
   endpoint.delay = std::max(0.0, endpoint.delay);
   endpoint.delay_at = now;
-  Learn(pending, took);
-  Ended(ticket);
+  UpdateLatencyModel(pending, elapsed);
+  RecordFinish(ticket);
 }
 
-void EngineLoads::Ended(uint64_t ticket) {
+void EngineLoads::RecordFinish(uint64_t ticket) {
   auto found = pending_.find(ticket);
   if (found == pending_.end()) return;
   Endpoint& endpoint = endpoints_[found->second.endpoint];
-  endpoint.reading = std::max(0.0, endpoint.reading - found->second.reading);
-  bool told = found->second.told && observer_ != nullptr;
-  if (told) observer_->OnRead(ticket);
-  endpoint.waiting.erase(ticket);
+  endpoint.prefill_seconds =
+      std::max(0.0, endpoint.prefill_seconds - found->second.prefill_seconds);
+  bool notify = found->second.observer_notified && observer_ != nullptr;
+  if (notify) observer_->OnPrefillDone(ticket);
+  endpoint.awaiting_response.erase(ticket);
   pending_.erase(found);
 }
 
-void EngineLoads::Failed(uint64_t ticket, const std::string& data_centre,
-                         TimePoint now) {
+void EngineLoads::RecordFailure(uint64_t ticket, const std::string& data_centre,
+                                TimePoint now) {
   auto found = pending_.find(ticket);
   if (found == pending_.end()) return;
   Endpoint& endpoint = endpoints_[found->second.endpoint];
-  endpoint.delay = std::max(Delay(endpoint, now), kFailureDelay);
+  endpoint.delay = std::max(DecayedDelay(endpoint, now), kFailureDelay);
   endpoint.delay_at = now;
   // What it had read may be gone with it.
-  endpoint.parts.clear();
+  endpoint.cached_parts.clear();
   Failures& failures = failures_[data_centre];
   failures.endpoints.insert(found->second.endpoint);
   failures.last = now;
-  Ended(ticket);
+  RecordFinish(ticket);
 }
 
-void EngineLoads::Restarted(const std::string& endpoint) {
+void EngineLoads::RecordRestart(const std::string& endpoint) {
   auto found = endpoints_.find(endpoint);
   if (found == endpoints_.end()) return;
-  found->second.parts.clear();
+  found->second.cached_parts.clear();
   found->second.delay = 0;
 }
 
-void EngineLoads::Reached(const std::string& data_centre) {
+void EngineLoads::RecordReachable(const std::string& data_centre) {
   failures_.erase(data_centre);
 }
 
-Seconds EngineLoads::CutOffWait(const std::string& data_centre,
-                                TimePoint now) const {
+Seconds EngineLoads::PartitionPenalty(const std::string& data_centre,
+                                      TimePoint now) const {
   auto found = failures_.find(data_centre);
-  bool cut_off = found != failures_.end() &&
-                 found->second.endpoints.size() >= kCutOffEndpoints &&
-                 now - found->second.last < kCutOffTime;
-  return Seconds(cut_off ? kCutOffDelay : 0);
+  bool partitioned = found != failures_.end() &&
+                     found->second.endpoints.size() >= kPartitionEndpoints &&
+                     now - found->second.last < kPartitionMemory;
+  return Seconds(partitioned ? kPartitionDelay : 0);
 }
 
 void EngineLoads::Expire(TimePoint now) {
   peer_prompts_.Expire(now);
   for (auto entry = endpoints_.begin(); entry != endpoints_.end();) {
-    auto& parts = entry->second.parts;
+    auto& parts = entry->second.cached_parts;
     for (auto part = parts.begin(); part != parts.end();) {
-      part = now - part->second > kKept ? parts.erase(part) : std::next(part);
+      part = now - part->second > kCacheRetention ? parts.erase(part)
+                                                  : std::next(part);
     }
-    bool idle = parts.empty() && entry->second.waiting.empty() &&
-                Delay(entry->second, now) < kForgottenDelay;
+    bool idle = parts.empty() && entry->second.awaiting_response.empty() &&
+                DecayedDelay(entry->second, now) < kNegligibleDelay;
     entry = idle ? endpoints_.erase(entry) : std::next(entry);
   }
 }
--- a/leverwick/guard.cc
+++ b/leverwick/guard.cc
@@ -65,7 +65,7 @@
 
 double Capped(double weight) { return std::clamp(weight, -kCap, kCap); }
 
-double ErrorWeight(const GuardLimits& limits, const VersionView& baseline,
+double ErrorWeight(const GuardLimits& limits, const VersionStats& baseline,
                    bool error) {
   double errors = baseline.errors + limits.prior_answers * limits.prior_errors;
   double answers = baseline.answers + limits.prior_answers;
@@ -80,7 +80,7 @@
   return Capped(shift * (value - mean - shift / 2) / variance);
 }
 
-double LatencyWeight(const GuardLimits& limits, const VersionView& baseline,
+double LatencyWeight(const GuardLimits& limits, const VersionStats& baseline,
                      Seconds latency) {
   double value = std::log(std::max(kShortestLatency, latency.count()));
   double variance =
@@ -89,7 +89,7 @@
                       std::log(limits.latency_ratio), variance);
 }
 
-double RatingWeight(const GuardLimits& limits, const VersionView& baseline,
+double RatingWeight(const GuardLimits& limits, const VersionStats& baseline,
                     double rating) {
   double variance = std::max(kLeastRatingVariance, baseline.rating_variance);
   return NormalWeight(rating, baseline.rating_mean, -limits.rating_drop,
@@ -107,7 +107,7 @@
 }
 
 void Guard::Answered(const std::string& subject, const GuardLimits& limits,
-                     const VersionView& baseline,
+                     const VersionStats& baseline,
                      const Observation& observation) {
   std::lock_guard<std::mutex> lock(mutex_);
   Subject& state = subjects_[subject];
@@ -138,7 +138,7 @@
 }
 
 void Guard::Ended(const std::string& subject, const GuardLimits& limits,
-                  const VersionView& baseline, bool broken) {
+                  const VersionStats& baseline, bool broken) {
   std::lock_guard<std::mutex> lock(mutex_);
   Subject& state = subjects_[subject];
   state.own.set_broken(state.own.broken() +
@@ -155,7 +155,7 @@
 }
 
 void Guard::Rated(const std::string& subject, const GuardLimits& limits,
-                  const VersionView& baseline, double rating) {
+                  const VersionStats& baseline, double rating) {
   std::lock_guard<std::mutex> lock(mutex_);
   if (baseline.ratings < kLeastBaseline) return;
   Subject& state = subjects_[subject];
--- a/leverwick/guard.h
+++ b/leverwick/guard.h
@@ -28,7 +28,7 @@
 #include <utility>
 #include <vector>
 
-#include "leverwick/estimates.h"
+#include "leverwick/version_estimates.h"
 #include "schema/peer.pb.h"
 #include "schema/table.pb.h"
 
@@ -64,7 +64,7 @@
 
   // An answer of the subject; `baseline` are the answers it is held against.
   void Answered(const std::string& subject, const GuardLimits& limits,
-                const VersionView& baseline, const Observation& observation);
+                const VersionStats& baseline, const Observation& observation);
   // An answer was timed and held to be slow, or not, by a measure that few of
   // a sound version's answers exceed. For callers that can't take the baseline
   // as it is, because the subject bears less load than it.
@@ -73,9 +73,9 @@
   // A stream came whole, or broke off; `baseline`: how often those of the
   // version before broke off, as errors.
   void Ended(const std::string& subject, const GuardLimits& limits,
-             const VersionView& baseline, bool broken);
+             const VersionStats& baseline, bool broken);
   void Rated(const std::string& subject, const GuardLimits& limits,
-             const VersionView& baseline, double rating);
+             const VersionStats& baseline, double rating);
 
   // Boxes tell each other only what speaks against the subject, so that a sound
   // one costs no calls. `boxes` in all are taken to have timed `answers` each
--- a/leverwick/homes.h
+++ b/leverwick/home_regions.h
@@ -5,11 +5,11 @@
 // endpoints are meant: any box may take a request from its caller, and no box
 // passes one on to another.
 //
-//   Homes homes{&route.homes, &holder.homes};
-//   if (homes.Allow(regions.Of(endpoint.data_centre))) ...
+//   HomeRegions homes{&route.homes, &holder.homes};
+//   if (homes.Allows(regions.RegionFor(endpoint.data_centre))) ...
 
-#ifndef LEVERWICK_HOMES_H_
-#define LEVERWICK_HOMES_H_
+#ifndef LEVERWICK_HOME_REGIONS_H_
+#define LEVERWICK_HOME_REGIONS_H_
 
 #include <algorithm>
 #include <map>
@@ -20,15 +20,15 @@
 namespace leverwick {
 
 // Where the data centres are, as the settings say.
-class Regions {
+class RegionMap {
  public:
-  Regions() = default;
-  explicit Regions(std::map<std::string, std::string> by_data_centre)
+  RegionMap() = default;
+  explicit RegionMap(std::map<std::string, std::string> by_data_centre)
       : by_data_centre_(std::move(by_data_centre)) {}
 
   // Empty for a data centre that the settings don't name; no list of homes
   // holds that.
-  const std::string& Of(const std::string& data_centre) const {
+  const std::string& RegionFor(const std::string& data_centre) const {
     static const std::string unknown;
     auto found = by_data_centre_.find(data_centre);
     return found == by_data_centre_.end() ? unknown : found->second;
@@ -39,17 +39,17 @@
 };
 
 // What a request's route and organisation ask for. Null: nothing.
-struct Homes {
+struct HomeRegions {
   const std::vector<std::string>* route = nullptr;
   const std::vector<std::string>* organisation = nullptr;
 
-  bool Allow(const std::string& region) const {
-    return Has(route, region) && Has(organisation, region);
+  bool Allows(const std::string& region) const {
+    return AllowsRegion(route, region) && AllowsRegion(organisation, region);
   }
 
  private:
-  static bool Has(const std::vector<std::string>* homes,
-                  const std::string& region) {
+  static bool AllowsRegion(const std::vector<std::string>* homes,
+                           const std::string& region) {
     if (homes == nullptr || homes->empty()) return true;
     return std::find(homes->begin(), homes->end(), region) != homes->end();
   }
@@ -57,4 +57,4 @@
 
 }  // namespace leverwick
 
-#endif  // LEVERWICK_HOMES_H_
+#endif  // LEVERWICK_HOME_REGIONS_H_
--- a/leverwick/planner.cc
+++ b/leverwick/planner.cc
@@ -61,7 +61,8 @@
     const std::vector<const Version*>& candidates) const {
   std::vector<Option> options;
   for (const Version* version : candidates) {
-    Outlook outlook = estimates_->OutlookOf(*version, request.request_class);
+    ResponseEstimate outlook =
+        estimates_->EstimateResponse(*version, request.request_class);
     double completion = outlook.completion_tokens;
     if (request.max_tokens > 0) {
       completion =
--- a/leverwick/planner.h
+++ b/leverwick/planner.h
@@ -24,7 +24,7 @@
 #include <string>
 #include <vector>
 
-#include "leverwick/estimates.h"
+#include "leverwick/version_estimates.h"
 #include "schema/table.pb.h"
 
 namespace leverwick {
@@ -54,7 +54,7 @@
 // Thread-safe; organisations are sharded.
 class Planner {
  public:
-  explicit Planner(const Estimates* estimates) : estimates_(estimates) {}
+  explicit Planner(const VersionEstimates* estimates) : estimates_(estimates) {}
 
   // Chooses among `candidates`, all of which the organisation may use.
   Plan Choose(const PlanRequest& request,
@@ -79,7 +79,7 @@
   // One version with what is expected of it for a request.
   struct Option {
     const Version* version;
-    Outlook outlook;
+    ResponseEstimate outlook;
     double cost;
   };
 
@@ -95,7 +95,7 @@
 
   Shard& ShardOf(const std::string& organisation);
 
-  const Estimates* const estimates_;
+  const VersionEstimates* const estimates_;
   std::array<Shard, kShards> shards_;
 };
 
--- a/leverwick/reachability.h
+++ b/leverwick/reachability.h
@@ -7,7 +7,7 @@
 //
 //   Reachability reach;
 //   if (reach.MayTry(endpoint, now)) { reach.Trying(endpoint, now); ... }
-//   reach.TimedOut(endpoint, now);  // or reach.Answered(endpoint)
+//   reach.RecordTimeout(endpoint, now);  // or reach.RecordResponse(endpoint)
 //   reach.Expire(now);
 
 #ifndef LEVERWICK_REACHABILITY_H_
@@ -27,53 +27,55 @@
   // end of a cut this late at most; a request in so long pays for finding out.
   static constexpr milliseconds kProbeInterval{500};
 
-  bool MayTry(const std::string& endpoint, TimePoint now) const {
-    auto found = silent_.find(endpoint);
-    return found == silent_.end() || !found->second.beyond_reach() ||
-           now - found->second.last >= kProbeInterval;
+  bool AllowsAttempt(const std::string& endpoint, TimePoint now) const {
+    auto found = timeouts_.find(endpoint);
+    return found == timeouts_.end() || !found->second.is_unreachable() ||
+           now - found->second.last_attempt >= kProbeInterval;
   }
 
   // A request goes there; if it is a probe, others wait for what it finds.
-  void Trying(const std::string& endpoint, TimePoint now) {
-    auto found = silent_.find(endpoint);
-    if (found == silent_.end()) return;
-    if (found->second.beyond_reach()) found->second.last = now;
+  void RecordAttempt(const std::string& endpoint, TimePoint now) {
+    auto found = timeouts_.find(endpoint);
+    if (found == timeouts_.end()) return;
+    if (found->second.is_unreachable()) found->second.last_attempt = now;
   }
 
   // The endpoint did not answer a connection attempt in time.
-  void TimedOut(const std::string& endpoint, TimePoint now) {
-    Silence& silence = silent_[endpoint];
-    ++silence.attempts;
-    silence.last = now;
+  void RecordTimeout(const std::string& endpoint, TimePoint now) {
+    TimeoutStreak& streak = timeouts_[endpoint];
+    ++streak.count;
+    streak.last_attempt = now;
   }
 
-  void Answered(const std::string& endpoint) { silent_.erase(endpoint); }
+  void RecordResponse(const std::string& endpoint) {
+    timeouts_.erase(endpoint);
+  }
 
   // Forgets endpoints that nobody has tried for long.
   void Expire(TimePoint now) {
-    for (auto entry = silent_.begin(); entry != silent_.end();) {
-      bool old = now - entry->second.last > kForgotten;
-      entry = old ? silent_.erase(entry) : std::next(entry);
+    for (auto entry = timeouts_.begin(); entry != timeouts_.end();) {
+      bool expired = now - entry->second.last_attempt > kIdleExpiry;
+      entry = expired ? timeouts_.erase(entry) : std::next(entry);
     }
   }
 
-  size_t size() const { return silent_.size(); }
+  size_t size() const { return timeouts_.size(); }
 
  private:
   // Longer than any pause in which a listed endpoint gets no request.
-  static constexpr std::chrono::seconds kForgotten{60};
+  static constexpr std::chrono::seconds kIdleExpiry{60};
 
   // Attempts in a row that got no answer: a single opening packet may be lost
   // on a link that is otherwise sound.
-  static constexpr int kSilentAttempts = 2;
+  static constexpr int kTimeoutsToUnreachable = 2;
 
-  struct Silence {
-    int attempts = 0;  // in a row
-    TimePoint last{};  // when it was last tried or found silent
-    bool beyond_reach() const { return attempts >= kSilentAttempts; }
+  struct TimeoutStreak {
+    int count = 0;             // in a row
+    TimePoint last_attempt{};  // when it was last tried or found silent
+    bool is_unreachable() const { return count >= kTimeoutsToUnreachable; }
   };
 
-  std::unordered_map<std::string, Silence> silent_;
+  std::unordered_map<std::string, TimeoutStreak> timeouts_;
 };
 
 }  // namespace leverwick
--- a/leverwick/recent_refusals.h
+++ b/leverwick/recent_refusals.h
@@ -6,7 +6,7 @@
 // other endpoint may take the request. One request then finds out.
 //
 //   RecentRefusals refusals;
-//   refusals.Refused(endpoint, now);  // or refusals.Took(endpoint)
+//   refusals.RecordRefusal(endpoint, now);  // or refusals.Took(endpoint)
 //   if (refusals.IsLastResort(endpoint, now)) ...
 
 #ifndef LEVERWICK_RECENT_REFUSALS_H_
@@ -25,20 +25,22 @@
  public:
   // A full endpoint has room again soon; one that goes on refusing is asked
   // about once a second.
-  static constexpr milliseconds kFirst{50};
-  static constexpr milliseconds kLongest{1600};
+  static constexpr milliseconds kInitialPenalty{50};
+  static constexpr milliseconds kMaxPenalty{1600};
 
-  void Refused(const std::string& endpoint, TimePoint now) {
-    Refusals& refusals = endpoints_[endpoint];
+  void RecordRefusal(const std::string& endpoint, TimePoint now) {
+    Penalty& penalty = endpoints_[endpoint];
     // Requests that were under way together count as one.
-    if (now < refusals.until) return;
-    milliseconds doubled = std::min(2 * refusals.time, kLongest);
-    refusals.time = std::max(doubled, kFirst);
-    refusals.until = now + refusals.time;
+    if (now < penalty.until) return;
+    milliseconds doubled = std::min(2 * penalty.duration, kMaxPenalty);
+    penalty.duration = std::max(doubled, kInitialPenalty);
+    penalty.until = now + penalty.duration;
   }
 
   // The endpoint has taken a request.
-  void Took(const std::string& endpoint) { endpoints_.erase(endpoint); }
+  void RecordAcceptance(const std::string& endpoint) {
+    endpoints_.erase(endpoint);
+  }
 
   bool IsLastResort(const std::string& endpoint, TimePoint now) const {
     auto found = endpoints_.find(endpoint);
@@ -48,21 +50,21 @@
   // Forgets endpoints that have long refused nothing.
   void Expire(TimePoint now) {
     for (auto entry = endpoints_.begin(); entry != endpoints_.end();) {
-      bool old = now - entry->second.until > kForgotten;
-      entry = old ? endpoints_.erase(entry) : std::next(entry);
+      bool expired = now - entry->second.until > kIdleExpiry;
+      entry = expired ? endpoints_.erase(entry) : std::next(entry);
     }
   }
 
   size_t size() const { return endpoints_.size(); }
 
  private:
-  static constexpr std::chrono::seconds kForgotten{10};
+  static constexpr std::chrono::seconds kIdleExpiry{10};
 
-  struct Refusals {
-    milliseconds time{0};
+  struct Penalty {
+    milliseconds duration{0};
     TimePoint until{};
   };
-  std::unordered_map<std::string, Refusals> endpoints_;
+  std::unordered_map<std::string, Penalty> endpoints_;
 };
 
 }  // namespace leverwick
--- a/leverwick/far_cost.h
+++ b/leverwick/remote_cost.h
@@ -5,10 +5,10 @@
 // less than this.
 //
 //   FarCost cost(settings.far_megabyte);
-//   Seconds weighed = wait + cost.Of(body.size());
+//   Seconds weighed = wait + cost.ForBytes(body.size());
 
-#ifndef LEVERWICK_FAR_COST_H_
-#define LEVERWICK_FAR_COST_H_
+#ifndef LEVERWICK_REMOTE_COST_H_
+#define LEVERWICK_REMOTE_COST_H_
 
 #include <cstddef>
 
@@ -17,25 +17,25 @@
 namespace leverwick {
 
 // A way there and back: data centres are some milliseconds apart.
-constexpr Seconds kFarTrip{0.005};
+constexpr Seconds kRemoteRoundTrip{0.005};
 
-class FarCost {
+class RemoteCost {
  public:
   // With 30 s a megabyte days of six boxes gain 0.014 of their worth against
   // none, and of seven boxes 0.005 and 0.003 (30 played days each, paired).
-  explicit FarCost(nanoseconds megabyte)
-      : per_byte_(Seconds(megabyte) / kMegabyte) {}
+  explicit RemoteCost(nanoseconds per_megabyte)
+      : per_byte_(Seconds(per_megabyte) / kBytesPerMegabyte) {}
 
-  Seconds Of(size_t bytes) const {
-    return kFarTrip + per_byte_ * static_cast<double>(bytes);
+  Seconds ForBytes(size_t bytes) const {
+    return kRemoteRoundTrip + per_byte_ * static_cast<double>(bytes);
   }
 
  private:
-  static constexpr double kMegabyte = 1e6;  // bytes
+  static constexpr double kBytesPerMegabyte = 1e6;  // bytes
 
   const Seconds per_byte_;
 };
 
 }  // namespace leverwick
 
-#endif  // LEVERWICK_FAR_COST_H_
+#endif  // LEVERWICK_REMOTE_COST_H_
--- a/leverwick/send_gates.cc
+++ b/leverwick/send_gates.cc
@@ -26,7 +26,7 @@
 }
 
 void SendGates::Sent(const std::string& endpoint, TimePoint now) const {
-  parts_.reach->Trying(endpoint, now);
+  parts_.reach->RecordAttempt(endpoint, now);
   parts_.backoffs->Sent(endpoint, now);
   parts_.slow_start->Sent(endpoint, now);
   parts_.permits->Sent(endpoint, now);
@@ -34,7 +34,7 @@
 
 nanoseconds SendGates::Reach(const ListedEndpoint& endpoint, Scope,
                              TimePoint now) const {
-  bool reached = parts_.reach->MayTry(endpoint.address, now);
+  bool reached = parts_.reach->AllowsAttempt(endpoint.address, now);
   return reached ? nanoseconds(0) : Reachability::kProbeInterval;
 }
 
--- a/leverwick/send_gates.h
+++ b/leverwick/send_gates.h
@@ -18,7 +18,7 @@
 #include <string>
 
 #include "leverwick/backoffs.h"
-#include "leverwick/endpoints.h"
+#include "leverwick/endpoint_pool.h"
 #include "leverwick/reachability.h"
 #include "leverwick/send_permits.h"
 #include "leverwick/slow_start.h"
--- a/leverwick/slow_start.h
+++ b/leverwick/slow_start.h
@@ -30,7 +30,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "leverwick/endpoints.h"
+#include "leverwick/endpoint_pool.h"
 #include "leverwick/service_config.h"
 #include "leverwick/time.h"
 
--- a/leverwick/testing/decisions_test.cc
+++ b/leverwick/testing/decisions_test.cc
@@ -5,23 +5,23 @@
 #include <random>
 
 #include "leverwick/digest.h"
-#include "leverwick/estimates.h"
 #include "leverwick/guard.h"
 #include "leverwick/planner.h"
 #include "leverwick/routing.h"
 #include "leverwick/testing/table_builder.h"
+#include "leverwick/version_estimates.h"
 
 namespace leverwick {
 namespace {
 
 TEST_CASE("sums go often while small, and within a rate of bytes when large") {
-  CHECK(SumsInterval(100, 3) == Seconds(5));
-  CHECK(SumsInterval(0, 0) == Seconds(5));
+  CHECK(SumsBroadcastInterval(100, 3) == Seconds(5));
+  CHECK(SumsBroadcastInterval(0, 0) == Seconds(5));
   constexpr size_t kLives = 26;
   constexpr size_t kSumsOfALife = 78;  // 13 versions, 6 classes
   constexpr size_t kBytesOfASum = 100;
   constexpr size_t kLarge = kLives * kSumsOfALife * kBytesOfASum;
-  double seconds = SumsInterval(kLarge, 3).count();
+  double seconds = SumsBroadcastInterval(kLarge, 3).count();
   CHECK(static_cast<double>(kLarge) * 3 / seconds <= 1000);
 }
 
@@ -96,23 +96,23 @@
 }
 
 TEST_CASE("sums of lives add up, whatever the order and the repeats") {
-  Estimates a("a");
-  Estimates b("b");
-  Estimates both("c");
+  VersionEstimates a("a");
+  VersionEstimates b("b");
+  VersionEstimates both("c");
   Observation observation;
   observation.latency = Seconds(0.5);
   observation.completion_tokens = 10;
   std::vector<LifeSums> seen;
   for (int i = 0; i < 30; ++i) {
-    (i % 3 == 0 ? a : b).Answered("swift@1", 0, observation);
-    (i % 3 == 0 ? a : b).Rated("swift@1", 0, true, 0.5);
+    (i % 3 == 0 ? a : b).RecordResponse("swift@1", 0, observation);
+    (i % 3 == 0 ? a : b).RecordRating("swift@1", 0, true, 0.5);
     seen.push_back(a.own());
     seen.push_back(b.own());
   }
   std::mt19937 random(5);
   std::shuffle(seen.begin(), seen.end(), random);
-  for (const LifeSums& sums : seen) both.Merge(sums);
-  VersionView view = both.View("swift@1", 0);
+  for (const LifeSums& sums : seen) both.MergePeerSums(sums);
+  VersionStats view = both.StatsFor("swift@1", 0);
   CHECK(view.answers == 30);
   CHECK(view.ratings == 30);
   CHECK(view.rating_mean == doctest::Approx(0.5));
@@ -135,12 +135,12 @@
                             {"allowed", "cheap;strong"},
                             {"quality_target", "0.8"},
                             {"exploration", "0"}});
-  Estimates estimates("a");
+  VersionEstimates estimates("a");
   for (int i = 0; i < 200; ++i) {
-    estimates.Rated("cheap@1", 0, true, 0.9);  // easy class
-    estimates.Rated("cheap@1", 1, true, 0.4);  // hard class
-    estimates.Rated("strong@1", 0, true, 0.95);
-    estimates.Rated("strong@1", 1, true, 0.9);
+    estimates.RecordRating("cheap@1", 0, true, 0.9);  // easy class
+    estimates.RecordRating("cheap@1", 1, true, 0.4);  // hard class
+    estimates.RecordRating("strong@1", 0, true, 0.95);
+    estimates.RecordRating("strong@1", 1, true, 0.9);
   }
   Planner planner(&estimates);
   std::vector<const Version*> candidates = site.table().versions();
@@ -164,8 +164,8 @@
   CHECK(strong_on[1] > 5 * strong_on[0]);
 }
 
-VersionView GoodBaseline() {
-  VersionView view;
+VersionStats GoodBaseline() {
+  VersionStats view;
   view.answers = 1000;
   view.errors = 10;
   view.log_latency_mean = std::log(0.5);
--- a/leverwick/testing/endpoints_test.cc
+++ b/leverwick/testing/endpoint_pool_test.cc
@@ -1,4 +1,4 @@
-#include "leverwick/endpoints.h"
+#include "leverwick/endpoint_pool.h"
 
 #include <doctest/doctest.h>
 
@@ -13,13 +13,13 @@
 
 const std::string kTarget = "swift@1";
 
-std::vector<ListedEndpoint> MakeList(size_t count, size_t places = 4) {
+std::vector<ListedEndpoint> MakeList(size_t count, size_t max_in_flight = 4) {
   std::vector<ListedEndpoint> list;
   for (size_t i = 0; i < count; ++i) {
     ListedEndpoint endpoint;
     endpoint.address = "127.0.0.1:" + std::to_string(100 + i);
     endpoint.target = kTarget;
-    endpoint.places = places;
+    endpoint.max_in_flight = max_in_flight;
     list.push_back(endpoint);
   }
   return list;
@@ -36,7 +36,7 @@
   for (int i = 0; i < 10; ++i) {
     CHECK(pool.Pick(kTarget, 42, {}, At(0)).address == first);
   }
-  for (int i = 0; i < 4; ++i) pool.Started(first);
+  for (int i = 0; i < 4; ++i) pool.RecordStart(first);
   CHECK(pool.Pick(kTarget, 42, {}, At(0)).address != first);
 }
 
@@ -48,10 +48,10 @@
     auto reference = pool.PickLeastLoaded(kTarget, {}, At(i * 0.01));
     auto choice = pool.Pick(kTarget, random(), {}, At(i * 0.01));
     REQUIRE(choice.load <= reference.load + 0.25 + 1e-9);
-    pool.Started(choice.address);
+    pool.RecordStart(choice.address);
     if (i > 20) {
       std::string address = "127.0.0.1:" + std::to_string(100 + random() % 10);
-      pool.Ended(address, true, At(i * 0.01));
+      pool.RecordCompletion(address, true, At(i * 0.01));
     }
   }
 }
@@ -61,7 +61,7 @@
   pool.SetListed(MakeList(2), At(0));
   LoadReport report;
   report.leaving = true;
-  pool.Reported("127.0.0.1:100", report, At(0));
+  pool.RecordReport("127.0.0.1:100", report, At(0));
   pool.SetListed(MakeList(2), At(1));
   for (uint64_t prefix = 0; prefix < 50; ++prefix) {
     CHECK(pool.Pick(kTarget, prefix, {}, At(1)).address == "127.0.0.1:101");
@@ -79,7 +79,7 @@
   EndpointPool pool;
   pool.SetListed(MakeList(4), At(0));
   auto fail = [&pool](const std::string& address) {
-    for (int i = 0; i < 3; ++i) pool.Ended(address, false, At(0));
+    for (int i = 0; i < 3; ++i) pool.RecordCompletion(address, false, At(0));
   };
   fail("127.0.0.1:100");
   for (uint64_t prefix = 0; prefix < 50; ++prefix) {
@@ -100,7 +100,7 @@
   pool.SetListed(MakeList(1), At(0));
   LoadReport report;
   report.running = 8;
-  pool.Reported("127.0.0.1:100", report, At(0));
+  pool.RecordReport("127.0.0.1:100", report, At(0));
   CHECK(pool.Pick(kTarget, 1, {}, At(0)).load == doctest::Approx(2));
   CHECK(pool.Pick(kTarget, 1, {}, At(2)).load == doctest::Approx(1));
 }
@@ -108,11 +108,11 @@
 TEST_CASE("a vanished endpoint is kept while requests run on it") {
   EndpointPool pool;
   pool.SetListed(MakeList(1), At(0));
-  pool.Started("127.0.0.1:100");
+  pool.RecordStart("127.0.0.1:100");
   pool.SetListed({}, At(1));
-  CHECK(!pool.Serves(kTarget, At(1)));
-  CHECK(pool.OwnRequests("127.0.0.1:100") == 1);
-  pool.Ended("127.0.0.1:100", true, At(1));
+  CHECK(!pool.HasUsable(kTarget, At(1)));
+  CHECK(pool.OwnInFlight("127.0.0.1:100") == 1);
+  pool.RecordCompletion("127.0.0.1:100", true, At(1));
   pool.SetListed({}, At(2));
   CHECK(pool.addresses().empty());
 }
@@ -126,7 +126,7 @@
   });
   int missing = 0;
   for (int i = 0; i < 200000; ++i) {
-    missing += pool.Serves(kTarget, At(0)) ? 0 : 1;
+    missing += pool.HasUsable(kTarget, At(0)) ? 0 : 1;
   }
   stop = true;
   lister.join();
--- a/leverwick/testing/endpoint_choice_test.cc
+++ b/leverwick/testing/endpoint_selector_test.cc
@@ -1,4 +1,4 @@
-#include "leverwick/endpoint_choice.h"
+#include "leverwick/endpoint_selector.h"
 
 #include <doctest/doctest.h>
 
@@ -16,7 +16,7 @@
   endpoint.target = "service";
   endpoint.data_centre = data_centre;
   endpoint.version = "v1";
-  endpoint.places = 8;
+  endpoint.max_in_flight = 8;
   return endpoint;
 }
 
@@ -32,21 +32,22 @@
   Backoffs backoffs;
   RecentRefusals refusals;
   SendGates gates{{&reach, &backoffs, &slow_start, &permits}};
-  EndpointChoice choice{{&pool, &rollouts, &loads, &gates, &drained, &refusals},
-                        FarCost(std::chrono::seconds(30)),
-                        "dc1",
-                        Regions({{"dc1", "north"}, {"dc2", "south"}})};
+  EndpointSelector selector{
+      {&pool, &rollouts, &loads, &gates, &drained, &refusals},
+      RemoteCost(std::chrono::seconds(30)),
+      "dc1",
+      RegionMap({{"dc1", "north"}, {"dc2", "south"}})};
 };
 
-WantedEndpoint Wanted(const Prompt* prompt, size_t body_bytes) {
-  WantedEndpoint wanted;
-  wanted.service = "service";
-  wanted.work = {"route/model", "model", prompt};
-  wanted.body_bytes = body_bytes;
-  return wanted;
+EndpointCriteria MakeCriteria(const Prompt* prompt, size_t body_bytes) {
+  EndpointCriteria criteria;
+  criteria.service = "service";
+  criteria.work = {"route/model", "model", prompt};
+  criteria.body_bytes = body_bytes;
+  return criteria;
 }
 
-TEST_CASE("the choice is never dearer than any other endpoint") {
+TEST_CASE("the selector is never dearer than any other endpoint") {
   std::mt19937 random(5);
   for (int round = 0; round < 200; ++round) {
     Site site;
@@ -63,19 +64,21 @@
     }
     for (int i = 0; i < 6; ++i) {
       const Prompt& prompt = prompts[random() % prompts.size()];
-      site.loads.Sent(endpoints[random() % endpoints.size()].address,
-                      {"route/model", "model", &prompt}, kStart);
+      site.loads.RecordSend(endpoints[random() % endpoints.size()].address,
+                            {"route/model", "model", &prompt}, kStart);
     }
-    WantedEndpoint wanted =
-        Wanted(&prompts[random() % prompts.size()], random() % 20000);
-    wanted.affinity = random();
-    std::string chosen = site.choice.Choose(wanted, kStart);
+    EndpointCriteria criteria =
+        MakeCriteria(&prompts[random() % prompts.size()], random() % 20000);
+    criteria.affinity = random();
+    std::string chosen = site.selector.Select(criteria, kStart);
     for (const ListedEndpoint& endpoint : endpoints) {
       if (endpoint.address != chosen) continue;
       // At best the chosen one was the preferred one.
-      Seconds cost = site.choice.CostAt(endpoint, wanted, true, kStart);
+      Seconds cost =
+          site.selector.ComputeCost(endpoint, criteria, true, kStart);
       for (const ListedEndpoint& other : endpoints) {
-        CHECK(cost <= site.choice.CostAt(other, wanted, false, kStart));
+        CHECK(cost <=
+              site.selector.ComputeCost(other, criteria, false, kStart));
       }
     }
     CHECK_FALSE(chosen.empty());
@@ -87,40 +90,40 @@
   site.pool.SetListed({Listed("near", "dc1"), Listed("far", "dc2")}, kStart);
   const Prompt prompt = {{"shared", 50}, {"own", 10}};
   for (uint64_t affinity = 0; affinity < 20; ++affinity) {
-    WantedEndpoint wanted = Wanted(&prompt, 17000);
-    wanted.affinity = affinity;
-    CHECK(site.choice.Choose(wanted, kStart) == "near");
+    EndpointCriteria criteria = MakeCriteria(&prompt, 17000);
+    criteria.affinity = affinity;
+    CHECK(site.selector.Select(criteria, kStart) == "near");
   }
   const Prompt waiting = {{"other", 60000}, {"own", 10}};
-  site.loads.Sent("near", {"route/model", "model", &waiting}, kStart);
-  CHECK(site.choice.Choose(Wanted(&prompt, 17000), kStart) == "far");
+  site.loads.RecordSend("near", {"route/model", "model", &waiting}, kStart);
+  CHECK(site.selector.Select(MakeCriteria(&prompt, 17000), kStart) == "far");
 }
 
 TEST_CASE("an endpoint beyond reach gets a request now and then") {
   Site site;
   site.pool.SetListed({Listed("a", "dc1"), Listed("b", "dc2")}, kStart);
-  WantedEndpoint wanted = Wanted(nullptr, 0);
+  EndpointCriteria criteria = MakeCriteria(nullptr, 0);
   // One lost packet is no cut.
-  site.reach.TimedOut("a", kStart);
-  CHECK(site.choice.Choose(wanted, kStart) == "a");
-  site.reach.TimedOut("a", kStart);
-  CHECK(site.choice.Choose(wanted, kStart) == "b");
+  site.reach.RecordTimeout("a", kStart);
+  CHECK(site.selector.Select(criteria, kStart) == "a");
+  site.reach.RecordTimeout("a", kStart);
+  CHECK(site.selector.Select(criteria, kStart) == "b");
   // A request that has tried both does not go round them again.
-  site.reach.TimedOut("b", kStart);
-  site.reach.TimedOut("b", kStart);
-  wanted.tried = {"a", "b"};
-  wanted.last_tried = "b";
-  CHECK(site.choice.Choose(wanted, kStart).empty());
+  site.reach.RecordTimeout("b", kStart);
+  site.reach.RecordTimeout("b", kStart);
+  criteria.attempted = {"a", "b"};
+  criteria.last_attempted = "b";
+  CHECK(site.selector.Select(criteria, kStart).empty());
   // Nor does any other wait for what is known.
-  wanted.tried.clear();
-  CHECK(site.choice.Choose(wanted, kStart).empty());
+  criteria.attempted.clear();
+  CHECK(site.selector.Select(criteria, kStart).empty());
   TimePoint later = kStart + Reachability::kProbeInterval;
-  CHECK(site.choice.Choose(wanted, later) == "a");
-  site.reach.Trying("a", later);
-  site.reach.Trying("b", later);
-  CHECK(site.choice.Choose(wanted, later).empty());
-  site.reach.Answered("b");
-  CHECK(site.choice.Choose(wanted, later) == "b");
+  CHECK(site.selector.Select(criteria, later) == "a");
+  site.reach.RecordAttempt("a", later);
+  site.reach.RecordAttempt("b", later);
+  CHECK(site.selector.Select(criteria, later).empty());
+  site.reach.RecordResponse("b");
+  CHECK(site.selector.Select(criteria, later) == "b");
   site.reach.Expire(later + std::chrono::seconds(61));
   CHECK(site.reach.size() == 0);
 }
@@ -129,21 +132,21 @@
   Site site;
   site.pool.SetListed({Listed("a", "dc1"), Listed("b", "dc2")}, kStart);
   const Prompt busy = {{"other", 60000}, {"own", 10}};
-  site.loads.Sent("b", {"route/model", "model", &busy}, kStart);
-  WantedEndpoint wanted = Wanted(nullptr, 0);
-  CHECK(site.choice.Choose(wanted, kStart) == "a");
+  site.loads.RecordSend("b", {"route/model", "model", &busy}, kStart);
+  EndpointCriteria criteria = MakeCriteria(nullptr, 0);
+  CHECK(site.selector.Select(criteria, kStart) == "a");
   site.drained.Drain("dc1");
-  CHECK(site.choice.Choose(wanted, kStart) == "b");
+  CHECK(site.selector.Select(criteria, kStart) == "b");
   // Neither the second round of tries nor the other version gets around it.
-  wanted.tried = {"a", "b"};
-  wanted.last_tried = "b";
-  CHECK(site.choice.Choose(wanted, kStart).empty());
+  criteria.attempted = {"a", "b"};
+  criteria.last_attempted = "b";
+  CHECK(site.selector.Select(criteria, kStart).empty());
   site.drained.Drain("dc2");
-  wanted.tried.clear();
-  CHECK(site.choice.Choose(wanted, kStart).empty());
-  CHECK(site.choice.ComeBackAfter(wanted, kStart) == milliseconds(1000));
+  criteria.attempted.clear();
+  CHECK(site.selector.Select(criteria, kStart).empty());
+  CHECK(site.selector.RetryAfter(criteria, kStart) == milliseconds(1000));
   site.drained.Restore("dc2");
-  CHECK(site.choice.Choose(wanted, kStart) == "b");
+  CHECK(site.selector.Select(criteria, kStart) == "b");
 }
 
 TEST_CASE("requests with home regions go to endpoints there only") {
@@ -155,25 +158,25 @@
   const std::vector<std::string> south = {"south"};
   const std::vector<std::string> both = {"south", "north"};
   const std::vector<std::string> none;
-  struct Asked {
+  struct HomesCase {
     const std::vector<std::string>* route;
     const std::vector<std::string>* organisation;
     std::set<std::string> allowed;
   };
-  const Asked cases[] = {
+  const HomesCase cases[] = {
       {&north, &none, {"a"}}, {&none, &south, {"b"}},
       {&both, &south, {"b"}}, {&both, &none, {"a", "b"}},
       {&north, &south, {}},   {&none, &none, {"a", "b", "c"}}};
-  for (const Asked& asked : cases) {
-    WantedEndpoint wanted = Wanted(nullptr, 0);
-    wanted.homes = {asked.route, asked.organisation};
+  for (const HomesCase& home_case : cases) {
+    EndpointCriteria criteria = MakeCriteria(nullptr, 0);
+    criteria.homes = {home_case.route, home_case.organisation};
     // One after the other, as if each had failed.
-    std::string id = site.choice.Choose(wanted, kStart);
-    while (!id.empty() && wanted.tried.insert(id).second) {
-      wanted.last_tried = id;
-      id = site.choice.Choose(wanted, kStart);
+    std::string id = site.selector.Select(criteria, kStart);
+    while (!id.empty() && criteria.attempted.insert(id).second) {
+      criteria.last_attempted = id;
+      id = site.selector.Select(criteria, kStart);
     }
-    CHECK(wanted.tried == asked.allowed);
+    CHECK(criteria.attempted == home_case.allowed);
   }
 }
 
@@ -183,32 +186,32 @@
   site.slow_start.SetLimits({{"service", {2, std::chrono::seconds(3)}}});
   site.pool.SetListed({Listed("a", "dc1")}, kStart);
   site.slow_start.Told("a", milliseconds(2500), kStart);
-  WantedEndpoint wanted = Wanted(nullptr, 0);
+  EndpointCriteria criteria = MakeCriteria(nullptr, 0);
   for (int i = 0; i < 2; ++i) {
-    CHECK(site.choice.Choose(wanted, kStart) == "a");
+    CHECK(site.selector.Select(criteria, kStart) == "a");
     site.slow_start.Sent("a", kStart);
   }
   TimePoint soon = kStart + milliseconds(300);
-  CHECK(site.choice.Choose(wanted, soon).empty());
-  CHECK(site.choice.ComeBackAfter(wanted, soon) == milliseconds(700));
-  CHECK(site.choice.Choose(wanted, soon + milliseconds(700)) == "a");
+  CHECK(site.selector.Select(criteria, soon).empty());
+  CHECK(site.selector.RetryAfter(criteria, soon) == milliseconds(700));
+  CHECK(site.selector.Select(criteria, soon + milliseconds(700)) == "a");
   // Another that is warm takes what the cold one must not.
   site.pool.SetListed({Listed("a", "dc1"), Listed("b", "dc2")}, kStart);
-  CHECK(site.choice.Choose(wanted, soon) == "b");
+  CHECK(site.selector.Select(criteria, soon) == "b");
 }
 
 TEST_CASE("what was tried is tried again only if there is no other") {
   Site site;
   site.pool.SetListed({Listed("a", "dc1"), Listed("b", "dc1")}, kStart);
-  WantedEndpoint wanted = Wanted(nullptr, 0);
-  wanted.tried = {"a"};
-  wanted.last_tried = "a";
-  CHECK(site.choice.Choose(wanted, kStart) == "b");
-  wanted.tried = {"a", "b"};
-  wanted.last_tried = "b";
-  CHECK(site.choice.Choose(wanted, kStart) == "a");
+  EndpointCriteria criteria = MakeCriteria(nullptr, 0);
+  criteria.attempted = {"a"};
+  criteria.last_attempted = "a";
+  CHECK(site.selector.Select(criteria, kStart) == "b");
+  criteria.attempted = {"a", "b"};
+  criteria.last_attempted = "b";
+  CHECK(site.selector.Select(criteria, kStart) == "a");
   site.pool.SetListed({Listed("b", "dc1")}, kStart);
-  CHECK(site.choice.Choose(wanted, kStart).empty());
+  CHECK(site.selector.Select(criteria, kStart).empty());
 }
 
 // A version was rolled back for its failures. While its endpoints were still
@@ -230,18 +233,18 @@
   order("v2");
   site.rollouts.Learned({"service", "v2", RolloutStep::kRolledBack}, kStart);
   order("v3");
-  WantedEndpoint wanted = Wanted(nullptr, 0);
-  wanted.side = ServiceRollouts::Side::kBaseline;
-  for (wanted.affinity = 0; wanted.affinity < 20; ++wanted.affinity) {
-    CHECK(site.choice.Choose(wanted, kStart) == "v1");
+  EndpointCriteria criteria = MakeCriteria(nullptr, 0);
+  criteria.side = ServiceRollouts::Side::kBaseline;
+  for (criteria.affinity = 0; criteria.affinity < 20; ++criteria.affinity) {
+    CHECK(site.selector.Select(criteria, kStart) == "v1");
   }
   // Not even if there is nothing else for it but the target.
   site.pool.SetListed({endpoints[1], endpoints[2]}, kStart);
-  CHECK(site.choice.Choose(wanted, kStart) == "v3");
+  CHECK(site.selector.Select(criteria, kStart) == "v3");
   // An operator who orders it anew means it.
   order("v2");
-  wanted.side = ServiceRollouts::Side::kTarget;
-  CHECK(site.choice.Choose(wanted, kStart) == "v2");
+  criteria.side = ServiceRollouts::Side::kTarget;
+  CHECK(site.selector.Select(criteria, kStart) == "v2");
 }
 
 // Seen in the soak (seed 18, beside load): a roll-out of v2 was rolled back,
@@ -260,21 +263,21 @@
     site.rollouts.Learned({"service", version, RolloutStep::kRolledBack},
                           kStart);
   }
-  WantedEndpoint wanted = Wanted(nullptr, 0);
-  wanted.side = ServiceRollouts::Side::kBaseline;
+  EndpointCriteria criteria = MakeCriteria(nullptr, 0);
+  criteria.side = ServiceRollouts::Side::kBaseline;
   // Not the newest target, which is being taken away.
-  CHECK(site.choice.Choose(wanted, kStart) == "v2");
+  CHECK(site.selector.Select(criteria, kStart) == "v2");
   // As soon as a sound version is listed it has all.
   endpoints.push_back(Listed("v0", "dc1"));
   endpoints.back().version = "v0";
   site.pool.SetListed(endpoints, kStart);
-  for (wanted.affinity = 0; wanted.affinity < 20; ++wanted.affinity) {
-    CHECK(site.choice.Choose(wanted, kStart) == "v0");
+  for (criteria.affinity = 0; criteria.affinity < 20; ++criteria.affinity) {
+    CHECK(site.selector.Select(criteria, kStart) == "v0");
   }
   // Also while it can't be used.
-  site.reach.TimedOut("v0", kStart);
-  site.reach.TimedOut("v0", kStart);
-  CHECK(site.choice.Choose(wanted, kStart).empty());
+  site.reach.RecordTimeout("v0", kStart);
+  site.reach.RecordTimeout("v0", kStart);
+  CHECK(site.selector.Select(criteria, kStart).empty());
 }
 
 // A site whose box deals out all limits itself; "a" would be chosen first.
@@ -289,42 +292,44 @@
 
 TEST_CASE("an endpoint that names a limit is taken with a permit only") {
   LimitedSite site;
-  WantedEndpoint wanted = Wanted(nullptr, 17000);
-  CHECK(site.choice.Choose(wanted, kStart) == "b");
+  EndpointCriteria criteria = MakeCriteria(nullptr, 17000);
+  CHECK(site.selector.Select(criteria, kStart) == "b");
   // It would be the best one: a permit is asked for.
-  CHECK(site.choice.ChooseToAsk(wanted, kStart) == "a");
+  CHECK(site.selector.SelectForPermitRequest(criteria, kStart) == "a");
   site.permits.Ask("a", "dc1", kStart);
   // There is no room for half a second, so there is nothing to ask.
-  CHECK(site.choice.ChooseToAsk(wanted, kStart).empty());
+  CHECK(site.selector.SelectForPermitRequest(criteria, kStart).empty());
   TimePoint later = kStart + milliseconds(500);
-  CHECK(site.choice.ChooseToAsk(wanted, later) == "a");
+  CHECK(site.selector.SelectForPermitRequest(criteria, later) == "a");
   site.permits.Ask("a", "dc1", later);
-  CHECK(site.choice.Choose(wanted, later) == "a");
-  CHECK(site.choice.ChooseToAsk(wanted, later).empty());
+  CHECK(site.selector.Select(criteria, later) == "a");
+  CHECK(site.selector.SelectForPermitRequest(criteria, later).empty());
   site.permits.Sent("a", later);
-  CHECK(site.choice.Choose(wanted, later) == "b");
+  CHECK(site.selector.Select(criteria, later) == "b");
 }
 
 TEST_CASE("no permit is asked for where another endpoint is better") {
   LimitedSite site;
   const Prompt busy = {{"other", 60000}, {"own", 10}};
-  site.loads.Sent("a", {"route/model", "model", &busy}, kStart);
-  CHECK(site.choice.ChooseToAsk(Wanted(nullptr, 0), kStart).empty());
+  site.loads.RecordSend("a", {"route/model", "model", &busy}, kStart);
+  CHECK(site.selector.SelectForPermitRequest(MakeCriteria(nullptr, 0), kStart)
+            .empty());
 }
 
 TEST_CASE("when limits keep a request from all, the time is that of a permit") {
   LimitedSite site;
   site.limits.Named("b", 0.5, kStart);
-  WantedEndpoint wanted = Wanted(nullptr, 0);
-  CHECK(site.choice.Choose(wanted, kStart).empty());
-  CHECK(site.choice.WhyNone(wanted, kStart) == Result::kEndpointsLimited);
+  EndpointCriteria criteria = MakeCriteria(nullptr, 0);
+  CHECK(site.selector.Select(criteria, kStart).empty());
+  CHECK(site.selector.ReasonForNone(criteria, kStart) ==
+        Result::kEndpointsLimited);
   site.permits.Ask("a", "dc1", kStart);
   site.permits.Ask("b", "dc2", kStart);
-  CHECK(site.choice.ComeBackAfter(wanted, kStart) == milliseconds(500));
+  CHECK(site.selector.RetryAfter(criteria, kStart) == milliseconds(500));
   // One that is drained as well is no matter of limits.
   site.drained.Drain("dc1");
   site.drained.Drain("dc2");
-  CHECK(site.choice.WhyNone(wanted, kStart) == Result::kNoEndpoint);
+  CHECK(site.selector.ReasonForNone(criteria, kStart) == Result::kNoEndpoint);
 }
 
 TEST_CASE("a limit of the version before gives its requests to no new one") {
@@ -334,44 +339,45 @@
   endpoints.back().version = "v2";
   site.pool.SetListed(endpoints, kStart);
   site.rollouts.Ordered("service", "v2", std::chrono::seconds(20), kStart);
-  WantedEndpoint wanted = Wanted(nullptr, 0);
-  wanted.side = ServiceRollouts::Side::kBaseline;
-  CHECK(site.choice.Choose(wanted, kStart).empty());
-  CHECK(site.choice.WhyNone(wanted, kStart) == Result::kEndpointsLimited);
+  EndpointCriteria criteria = MakeCriteria(nullptr, 0);
+  criteria.side = ServiceRollouts::Side::kBaseline;
+  CHECK(site.selector.Select(criteria, kStart).empty());
+  CHECK(site.selector.ReasonForNone(criteria, kStart) ==
+        Result::kEndpointsLimited);
   // What the new version has no room for, the one before serves.
   site.limits.NotNamed("a", kStart + std::chrono::seconds(1));
   site.limits.Named("new", 2, kStart);
-  wanted.side = ServiceRollouts::Side::kTarget;
-  CHECK(site.choice.Choose(wanted, kStart) == "a");
+  criteria.side = ServiceRollouts::Side::kTarget;
+  CHECK(site.selector.Select(criteria, kStart) == "a");
 }
 
 TEST_CASE("an endpoint that asked for a back-off is left alone until its end") {
   Site site;
   site.pool.SetListed({Listed("a", "dc1"), Listed("b", "dc2")}, kStart);
   site.backoffs.Asked("a", milliseconds(3000), kStart);
-  WantedEndpoint wanted = Wanted(nullptr, 17000);
+  EndpointCriteria criteria = MakeCriteria(nullptr, 17000);
   TimePoint during = kStart + milliseconds(2999);
-  CHECK(site.choice.Choose(wanted, kStart) == "b");
-  CHECK(site.choice.Choose(wanted, during) == "b");
+  CHECK(site.selector.Select(criteria, kStart) == "b");
+  CHECK(site.selector.Select(criteria, during) == "b");
   // Not even for the sake of a second try.
-  wanted.tried = {"a", "b"};
-  wanted.last_tried = "b";
-  CHECK(site.choice.Choose(wanted, during).empty());
-  wanted.tried.clear();
+  criteria.attempted = {"a", "b"};
+  criteria.last_attempted = "b";
+  CHECK(site.selector.Select(criteria, during).empty());
+  criteria.attempted.clear();
   TimePoint after = kStart + milliseconds(3000);
-  CHECK(site.choice.Choose(wanted, after) == "a");
+  CHECK(site.selector.Select(criteria, after) == "a");
 }
 
 TEST_CASE("an endpoint that refuses is taken only if there is no other") {
   Site site;
   site.pool.SetListed({Listed("a", "dc1"), Listed("b", "dc2")}, kStart);
-  site.refusals.Refused("a", kStart);
+  site.refusals.RecordRefusal("a", kStart);
   const Prompt busy = {{"other", 60000}, {"own", 10}};
-  site.loads.Sent("b", {"route/model", "model", &busy}, kStart);
-  WantedEndpoint wanted = Wanted(nullptr, 0);
-  CHECK(site.choice.Choose(wanted, kStart) == "b");
+  site.loads.RecordSend("b", {"route/model", "model", &busy}, kStart);
+  EndpointCriteria criteria = MakeCriteria(nullptr, 0);
+  CHECK(site.selector.Select(criteria, kStart) == "b");
   site.drained.Drain("dc2");
-  CHECK(site.choice.Choose(wanted, kStart) == "a");
+  CHECK(site.selector.Select(criteria, kStart) == "a");
 }
 
 TEST_CASE("when all endpoints ask for back-offs the time is the first end") {
@@ -379,16 +385,18 @@
   site.pool.SetListed({Listed("a", "dc1"), Listed("b", "dc2")}, kStart);
   site.backoffs.Asked("a", milliseconds(5000), kStart);
   site.backoffs.Asked("b", milliseconds(2000), kStart);
-  WantedEndpoint wanted = Wanted(nullptr, 0);
+  EndpointCriteria criteria = MakeCriteria(nullptr, 0);
   TimePoint later = kStart + milliseconds(500);
-  CHECK(site.choice.Choose(wanted, later).empty());
-  CHECK(site.choice.WhyNone(wanted, later) == Result::kEndpointsBackOff);
-  milliseconds come_back_after = site.choice.ComeBackAfter(wanted, later);
-  CHECK(come_back_after == milliseconds(1500));
-  CHECK(site.choice.Choose(wanted, later + come_back_after) == "b");
+  CHECK(site.selector.Select(criteria, later).empty());
+  CHECK(site.selector.ReasonForNone(criteria, later) ==
+        Result::kEndpointsBackOff);
+  milliseconds retry_after = site.selector.RetryAfter(criteria, later);
+  CHECK(retry_after == milliseconds(1500));
+  CHECK(site.selector.Select(criteria, later + retry_after) == "b");
   // Limits and back-offs together leave none.
   site.limits.Named("b", 0.5, kStart);
-  CHECK(site.choice.WhyNone(wanted, later) == Result::kEndpointsBackOff);
+  CHECK(site.selector.ReasonForNone(criteria, later) ==
+        Result::kEndpointsBackOff);
 }
 
 TEST_CASE("a back-off of the version before gives its requests to no new one") {
@@ -399,10 +407,11 @@
   site.pool.SetListed(endpoints, kStart);
   site.rollouts.Ordered("service", "v2", std::chrono::seconds(20), kStart);
   site.backoffs.Asked("a", milliseconds(3000), kStart);
-  WantedEndpoint wanted = Wanted(nullptr, 0);
-  wanted.side = ServiceRollouts::Side::kBaseline;
-  CHECK(site.choice.Choose(wanted, kStart).empty());
-  CHECK(site.choice.WhyNone(wanted, kStart) == Result::kEndpointsBackOff);
+  EndpointCriteria criteria = MakeCriteria(nullptr, 0);
+  criteria.side = ServiceRollouts::Side::kBaseline;
+  CHECK(site.selector.Select(criteria, kStart).empty());
+  CHECK(site.selector.ReasonForNone(criteria, kStart) ==
+        Result::kEndpointsBackOff);
 }
 
 }  // namespace
--- a/leverwick/testing/engine_loads_test.cc
+++ b/leverwick/testing/engine_loads_test.cc
@@ -2,7 +2,7 @@
 
 #include <doctest/doctest.h>
 
-#include "leverwick/far_cost.h"
+#include "leverwick/remote_cost.h"
 
 namespace leverwick {
 namespace {
@@ -19,7 +19,8 @@
 
 TEST_CASE("a prompt is expected sooner where its parts were read") {
   EngineLoads loads;
-  loads.Began(loads.Sent("a", kWork, kStart), kStart + milliseconds(20));
+  loads.RecordResponseStart(loads.RecordSend("a", kWork, kStart),
+                            kStart + milliseconds(20));
   CHECK(Wait(loads, "a", kStart) < Wait(loads, "b", kStart));
   // Another model's memory holds none of it.
   EngineWork other = kWork;
@@ -33,10 +34,11 @@
 
 TEST_CASE("an endpoint that starts again has read nothing and delays nothing") {
   EngineLoads loads;
-  loads.Began(loads.Sent("a", kWork, kStart), kStart + std::chrono::seconds(5));
+  loads.RecordResponseStart(loads.RecordSend("a", kWork, kStart),
+                            kStart + std::chrono::seconds(5));
   TimePoint later = kStart + std::chrono::seconds(5);
   CHECK(Wait(loads, "a", later) != doctest::Approx(Wait(loads, "b", later)));
-  loads.Restarted("a");
+  loads.RecordRestart("a");
   CHECK(Wait(loads, "a", later) == doctest::Approx(Wait(loads, "b", later)));
 }
 
@@ -47,22 +49,22 @@
 
 TEST_CASE("requests that wait at an endpoint make it later") {
   EngineLoads loads;
-  uint64_t ticket = loads.Sent("a", kWork, kStart);
+  uint64_t ticket = loads.RecordSend("a", kWork, kStart);
   double at_once = Wait(loads, "a", kStart);
   TimePoint later = kStart + std::chrono::seconds(2);
   double waiting = Wait(loads, "a", later);
   CHECK(waiting > at_once + 1);
-  loads.Ended(ticket);
+  loads.RecordFinish(ticket);
   CHECK(Wait(loads, "a", later) < waiting - 1);
 }
 
 TEST_CASE("a prompt that is mostly kept is expected to be read sooner") {
   EngineLoads loads;
-  uint64_t unread = loads.Sent("a", kWork, kStart);
-  uint64_t kept = loads.Sent("a", kWork, kStart);
-  CHECK(loads.ReadingOf(kept) < loads.ReadingOf(unread));
-  loads.Ended(kept);
-  CHECK(loads.ReadingOf(kept).count() == 0);
+  uint64_t unread = loads.RecordSend("a", kWork, kStart);
+  uint64_t kept = loads.RecordSend("a", kWork, kStart);
+  CHECK(loads.ExpectedPrefill(kept) < loads.ExpectedPrefill(unread));
+  loads.RecordFinish(kept);
+  CHECK(loads.ExpectedPrefill(kept).count() == 0);
 }
 
 TEST_CASE("what waits counts in the seconds of its own model") {
@@ -72,28 +74,31 @@
   for (int i = 0; i < 300; ++i) {
     const Prompt fresh = {{"s" + std::to_string(i), 6000}, {"own", 500}};
     slow.prompt = &fresh;
-    loads.Began(loads.Sent("x", slow, kStart), kStart + milliseconds(3250));
+    loads.RecordResponseStart(loads.RecordSend("x", slow, kStart),
+                              kStart + milliseconds(3250));
   }
   const Prompt waiting = {{"other", 6000}, {"own", 500}};
   slow.prompt = &waiting;
   double idle = Wait(loads, "a", kStart);
-  uint64_t ticket = loads.Sent("a", slow, kStart);
+  uint64_t ticket = loads.RecordSend("a", slow, kStart);
   CHECK(Wait(loads, "a", kStart) - idle >=
-        doctest::Approx(loads.ReadingOf(ticket).count()));
-  CHECK(loads.ReadingOf(ticket).count() > 2);
+        doctest::Approx(loads.ExpectedPrefill(ticket).count()));
+  CHECK(loads.ExpectedPrefill(ticket).count() > 2);
 }
 
 TEST_CASE("the weight of another data centre grows with what is sent there") {
-  FarCost cost(std::chrono::seconds(30));
-  CHECK(cost.Of(0) == kFarTrip);
-  CHECK((cost.Of(1000000) - kFarTrip).count() == doctest::Approx(30));
-  CHECK((cost.Of(17000) - kFarTrip).count() == doctest::Approx(0.51));
-  CHECK(FarCost(nanoseconds(0)).Of(1000000) == kFarTrip);
+  RemoteCost cost(std::chrono::seconds(30));
+  CHECK(cost.ForBytes(0) == kRemoteRoundTrip);
+  CHECK((cost.ForBytes(1000000) - kRemoteRoundTrip).count() ==
+        doctest::Approx(30));
+  CHECK((cost.ForBytes(17000) - kRemoteRoundTrip).count() ==
+        doctest::Approx(0.51));
+  CHECK(RemoteCost(nanoseconds(0)).ForBytes(1000000) == kRemoteRoundTrip);
 }
 
 TEST_CASE("a failed endpoint is avoided, also after what is old is forgotten") {
   EngineLoads loads;
-  loads.Failed(loads.Sent("a", kWork, kStart), "dc1", kStart);
+  loads.RecordFailure(loads.RecordSend("a", kWork, kStart), "dc1", kStart);
   loads.Expire(kStart + milliseconds(250));
   TimePoint soon = kStart + milliseconds(250);
   CHECK(Wait(loads, "a", soon) > Wait(loads, "b", soon) + 1);
@@ -105,18 +110,21 @@
 TEST_CASE("a data centre of which three endpoints failed is cut off") {
   EngineLoads loads;
   auto fail = [&](const std::string& endpoint) {
-    loads.Failed(loads.Sent(endpoint, kWork, kStart), "dc2", kStart);
+    loads.RecordFailure(loads.RecordSend(endpoint, kWork, kStart), "dc2",
+                        kStart);
   };
   fail("a");
   fail("a");
   fail("b");
-  CHECK(loads.CutOffWait("dc2", kStart).count() == 0);
+  CHECK(loads.PartitionPenalty("dc2", kStart).count() == 0);
   fail("c");
-  CHECK(loads.CutOffWait("dc2", kStart).count() > 0);
-  CHECK(loads.CutOffWait("dc1", kStart).count() == 0);
-  CHECK(loads.CutOffWait("dc2", kStart + std::chrono::seconds(3)).count() == 0);
-  loads.Reached("dc2");
-  CHECK(loads.CutOffWait("dc2", kStart).count() == 0);
+  CHECK(loads.PartitionPenalty("dc2", kStart).count() > 0);
+  CHECK(loads.PartitionPenalty("dc1", kStart).count() == 0);
+  CHECK(
+      loads.PartitionPenalty("dc2", kStart + std::chrono::seconds(3)).count() ==
+      0);
+  loads.RecordReachable("dc2");
+  CHECK(loads.PartitionPenalty("dc2", kStart).count() == 0);
 }
 
 }  // namespace
--- a/leverwick/testing/recent_refusals_test.cc
+++ b/leverwick/testing/recent_refusals_test.cc
@@ -11,30 +11,31 @@
   RecentRefusals refusals;
   CHECK_FALSE(refusals.IsLastResort("a", kStart));
   TimePoint now = kStart;
-  milliseconds time = RecentRefusals::kFirst;
-  for (int refused = 0; refused < 10; ++refused) {
-    refusals.Refused("a", now);
+  milliseconds penalty = RecentRefusals::kInitialPenalty;
+  for (int refusal = 0; refusal < 10; ++refusal) {
+    refusals.RecordRefusal("a", now);
     // What was under way with it changes nothing.
-    refusals.Refused("a", now + milliseconds(1));
-    CHECK(refusals.IsLastResort("a", now + time - milliseconds(1)));
-    now += time;
+    refusals.RecordRefusal("a", now + milliseconds(1));
+    CHECK(refusals.IsLastResort("a", now + penalty - milliseconds(1)));
+    now += penalty;
     CHECK_FALSE(refusals.IsLastResort("a", now));
-    time = std::min(2 * time, RecentRefusals::kLongest);
+    penalty = std::min(2 * penalty, RecentRefusals::kMaxPenalty);
   }
-  CHECK(time == RecentRefusals::kLongest);
+  CHECK(penalty == RecentRefusals::kMaxPenalty);
   CHECK_FALSE(refusals.IsLastResort("b", kStart));
 }
 
 TEST_CASE("an endpoint that has taken a request is as good as any") {
   RecentRefusals refusals;
-  for (int refused = 0; refused < 5; ++refused) {
-    refusals.Refused("a", kStart + refused * std::chrono::seconds(2));
+  for (int refusal = 0; refusal < 5; ++refusal) {
+    refusals.RecordRefusal("a", kStart + refusal * std::chrono::seconds(2));
   }
-  refusals.Took("a");
+  refusals.RecordAcceptance("a");
   TimePoint later = kStart + std::chrono::seconds(9);
   CHECK_FALSE(refusals.IsLastResort("a", later));
-  refusals.Refused("a", later);
-  CHECK_FALSE(refusals.IsLastResort("a", later + RecentRefusals::kFirst));
+  refusals.RecordRefusal("a", later);
+  CHECK_FALSE(
+      refusals.IsLastResort("a", later + RecentRefusals::kInitialPenalty));
   refusals.Expire(later + std::chrono::seconds(11));
   CHECK(refusals.size() == 0);
 }
--- a/leverwick/testing/relay_decisions_test.cc
+++ b/leverwick/testing/relay_decisions_test.cc
@@ -5,7 +5,7 @@
 #include <algorithm>
 #include <random>
 
-#include "leverwick/attempts.h"
+#include "leverwick/attempt_history.h"
 #include "leverwick/event_stream.h"
 #include "leverwick/key_trust.h"
 #include "leverwick/model_cascade.h"
@@ -80,22 +80,22 @@
   for (int round = 0; round < 2000; ++round) {
     bool repeatable = random() % 2;
     int most = 1 + static_cast<int>(random() % 3);
-    AttemptLog log(repeatable, most);
+    AttemptHistory log(repeatable, most);
     bool may_have_run = false;
     int sent = 0;
     for (int dispatch = 0; dispatch < 8; ++dispatch) {
-      log.Sent();
+      log.RecordAttempt();
       Outcome outcome = outcomes[random() % 4];
       if (outcome != Outcome::kNotSent) ++sent;
       may_have_run = may_have_run || outcome == Outcome::kFailed ||
                      outcome == Outcome::kBroken;
-      NextStep step = log.After(outcome, random() % 4 > 0);
+      NextStep step = log.DecideNextStep(outcome, random() % 4 > 0);
       CHECK(sent <= most);
-      if (step == NextStep::kTryAgain) {
+      if (step == NextStep::kRetry) {
         CHECK((repeatable || !may_have_run));
         continue;
       }
-      CHECK((step == NextStep::kAnswerNotRun) == !may_have_run);
+      CHECK((step == NextStep::kRespondNotRun) == !may_have_run);
       break;
     }
   }
--- a/leverwick/testing/service_rollouts_test.cc
+++ b/leverwick/testing/service_rollouts_test.cc
@@ -189,7 +189,7 @@
 
 TEST_CASE("with few answers to compare with, a bad version still trips") {
   GuardLimits limits{0.3, 1.0, 0, 10, 0.1};
-  VersionView few;
+  VersionStats few;
   few.answers = 5;
   Guard guard("box", 9);
   int answers = 0;
@@ -203,7 +203,7 @@
 
 TEST_CASE("one failure in seven, as before, does not trip") {
   GuardLimits limits{0.3, 1.0, 0, 10, 0.1};
-  VersionView before;
+  VersionStats before;
   before.answers = 200;
   before.errors = 28;
   Guard guard("box", 9);
@@ -274,7 +274,7 @@
 // of them, and so dropped what the box found after its start.
 TEST_CASE("what a box finds after it has started again counts") {
   const GuardLimits kErrorsOnly{0.3, 1.0, 0, 10, 0.1};
-  VersionView baseline;
+  VersionStats baseline;
   baseline.answers = 100;
   auto answer = [&](Guard* guard, bool slow) {
     guard->Answered("s", kErrorsOnly, baseline, {});
--- a/leverwick/testing/turns_test.cc
+++ b/leverwick/testing/staggered_start_test.cc
@@ -1,4 +1,4 @@
-#include "leverwick/turns.h"
+#include "leverwick/staggered_start.h"
 
 #include <doctest/doctest.h>
 
@@ -14,7 +14,7 @@
 constexpr milliseconds kNewsTakes{62};
 
 struct Fleet {
-  std::vector<Turns> turns;
+  std::vector<StaggeredStart> turns;
 
   explicit Fleet(size_t boxes) {
     for (size_t box = 0; box < boxes; ++box) {
@@ -52,9 +52,9 @@
     for (int duty = 0; duty < 40; ++duty) {
       std::vector<nanoseconds> turns;
       std::vector<nanoseconds> random_turns;
-      for (const Turns& box : fleet.turns) {
+      for (const StaggeredStart& box : fleet.turns) {
         turns.push_back(
-            box.PauseBefore(std::to_string(duty), kMost, draw(random)));
+            box.DelayBefore(std::to_string(duty), kMost, draw(random)));
         random_turns.push_back(FromSeconds(ToSeconds(kMost) * draw(random)));
       }
       attempts += Play(turns).attempts;
@@ -73,10 +73,10 @@
   for (double gone : {0.35, 0.6, 0.9}) {
     for (int duty = 0; duty < 40; ++duty) {
       std::vector<nanoseconds> turns;
-      for (const Turns& box : fleet.turns) {
+      for (const StaggeredStart& box : fleet.turns) {
         if (draw(random) < gone) continue;
         turns.push_back(
-            box.PauseBefore(std::to_string(duty), kMost, draw(random)));
+            box.DelayBefore(std::to_string(duty), kMost, draw(random)));
       }
       if (!turns.empty()) CHECK(Play(turns).done <= 2 * kMost);
     }
@@ -90,7 +90,7 @@
     size_t at_once = 0;
     for (size_t box = 0; box < fleet.turns.size(); ++box) {
       auto pause =
-          fleet.turns[box].PauseBefore(std::to_string(duty), kMost, 0.5);
+          fleet.turns[box].DelayBefore(std::to_string(duty), kMost, 0.5);
       if (pause != nanoseconds(0)) continue;
       ++at_once;
       first_boxes.insert(box);
--- a/leverwick/estimates.cc
+++ b/leverwick/version_estimates.cc
@@ -2,7 +2,7 @@
 // decision reads two maps only. A life's replaced sums are subtracted by
 // adding up all others anew, which is rare and short.
 
-#include "leverwick/estimates.h"
+#include "leverwick/version_estimates.h"
 
 #include <algorithm>
 #include <cmath>
@@ -15,11 +15,11 @@
 constexpr double kPriorRatings = 8;
 constexpr double kPriorAnswers = 20;
 constexpr double kPriorWeakShare = 0.3;
-constexpr double kPriorCompletion = 200;   // tokens
-constexpr double kShortestLatency = 1e-4;  // seconds
+constexpr double kPriorCompletionTokens = 200;  // tokens
+constexpr double kMinLatency = 1e-4;            // seconds
 // Other lives kept; the ones with the fewest answers go first.
-constexpr size_t kMostLives = 64;
-constexpr Seconds kLeastSumsInterval(5.0);
+constexpr size_t kMaxPeerIncarnations = 64;
+constexpr Seconds kMinSumsInterval(5.0);
 constexpr double kSumsBytesPerSecond = 1000;  // of one box, to all receivers
 
 void AddTo(const VersionSum& from, VersionSum* to) {
@@ -60,7 +60,8 @@
   return std::max(0.0, squares / count - mean * mean);
 }
 
-double WithPrior(double sum, double count, double prior, double prior_count) {
+double MeanWithPrior(double sum, double count, double prior,
+                     double prior_count) {
   return (sum + prior * prior_count) / (count + prior_count);
 }
 
@@ -74,9 +75,9 @@
 
 }  // namespace
 
-VersionSum& Estimates::Own(const std::string& version_key,
-                           uint32_t request_class) {
-  VersionSum& sum = own_[Key(version_key, request_class)];
+VersionSum& VersionEstimates::OwnSum(const std::string& version_key,
+                                     uint32_t request_class) {
+  VersionSum& sum = own_sums_[Key(version_key, request_class)];
   if (sum.model().empty()) {
     size_t at = version_key.find('@');
     sum.set_model(version_key.substr(0, at));
@@ -87,10 +88,11 @@
   return sum;
 }
 
-void Estimates::Answered(const std::string& version_key, uint32_t request_class,
-                         const Observation& observation) {
+void VersionEstimates::RecordResponse(const std::string& version_key,
+                                      uint32_t request_class,
+                                      const Observation& observation) {
   std::lock_guard<std::mutex> lock(mutex_);
-  VersionSum& sum = Own(version_key, request_class);
+  VersionSum& sum = OwnSum(version_key, request_class);
   sum.set_answers(sum.answers() + 1);
   if (observation.error) {
     sum.set_errors(sum.errors() + 1);
@@ -98,7 +100,7 @@
   }
   if (observation.weak) sum.set_weak(sum.weak() + 1);
   double log_latency =
-      std::log(std::max(kShortestLatency, observation.latency.count()));
+      std::log(std::max(kMinLatency, observation.latency.count()));
   sum.set_log_latency(sum.log_latency() + log_latency);
   sum.set_log_latency_squares(sum.log_latency_squares() +
                               log_latency * log_latency);
@@ -106,10 +108,11 @@
                             static_cast<double>(observation.completion_tokens));
 }
 
-void Estimates::Rated(const std::string& version_key, uint32_t request_class,
-                      bool confident, double rating) {
+void VersionEstimates::RecordRating(const std::string& version_key,
+                                    uint32_t request_class, bool confident,
+                                    double rating) {
   std::lock_guard<std::mutex> lock(mutex_);
-  VersionSum& sum = Own(version_key, request_class);
+  VersionSum& sum = OwnSum(version_key, request_class);
   sum.set_ratings(sum.ratings() + 1);
   sum.set_rating_sum(sum.rating_sum() + rating);
   sum.set_rating_squares(sum.rating_squares() + rating * rating);
@@ -118,99 +121,101 @@
   sum.set_confident_rating_sum(sum.confident_rating_sum() + rating);
 }
 
-void Estimates::Fade() {
+void VersionEstimates::Decay() {
   std::lock_guard<std::mutex> lock(mutex_);
-  for (auto& entry : own_) Halve(&entry.second);
+  for (auto& entry : own_sums_) Halve(&entry.second);
   ++own_version_;
 }
 
-Seconds SumsInterval(size_t bytes, size_t receivers) {
+Seconds SumsBroadcastInterval(size_t bytes, size_t receivers) {
   double sent = static_cast<double>(bytes) * static_cast<double>(receivers);
   return Seconds(
-      std::max(kLeastSumsInterval.count(), sent / kSumsBytesPerSecond));
+      std::max(kMinSumsInterval.count(), sent / kSumsBytesPerSecond));
 }
 
-void Estimates::Merge(const LifeSums& sums) {
+void VersionEstimates::MergePeerSums(const LifeSums& sums) {
   std::lock_guard<std::mutex> lock(mutex_);
-  if (sums.life() == life_) return;
-  LifeSums& stored = others_[sums.life()];
+  if (sums.life() == incarnation_) return;
+  LifeSums& stored = peer_sums_[sums.life()];
   if (stored.version() >= sums.version() && stored.sums_size() > 0) return;
   stored = sums;
-  if (others_.size() > kMostLives) others_.erase(others_.begin());
-  others_total_.clear();
-  for (const auto& life : others_) {
-    for (const VersionSum& sum : life.second.sums()) {
-      AddTo(sum, &others_total_[Key(KeyOf(sum), sum.request_class())]);
+  if (peer_sums_.size() > kMaxPeerIncarnations)
+    peer_sums_.erase(peer_sums_.begin());
+  peer_total_.clear();
+  for (const auto& peer : peer_sums_) {
+    for (const VersionSum& sum : peer.second.sums()) {
+      AddTo(sum, &peer_total_[Key(KeyOf(sum), sum.request_class())]);
     }
   }
 }
 
-LifeSums Estimates::own() const {
+LifeSums VersionEstimates::own() const {
   std::lock_guard<std::mutex> lock(mutex_);
   LifeSums sums;
-  sums.set_life(life_);
+  sums.set_life(incarnation_);
   sums.set_version(own_version_);
-  for (const auto& entry : own_) *sums.add_sums() = entry.second;
+  for (const auto& entry : own_sums_) *sums.add_sums() = entry.second;
   return sums;
 }
 
-std::vector<LifeSums> Estimates::all() const {
+std::vector<LifeSums> VersionEstimates::all() const {
   std::vector<LifeSums> all = {own()};
   std::lock_guard<std::mutex> lock(mutex_);
-  for (const auto& entry : others_) all.push_back(entry.second);
+  for (const auto& entry : peer_sums_) all.push_back(entry.second);
   return all;
 }
 
-VersionSum Estimates::TotalOf(const Key& key) const {
+VersionSum VersionEstimates::ComputeTotal(const Key& key) const {
   std::lock_guard<std::mutex> lock(mutex_);
   VersionSum total;
-  auto own = own_.find(key);
-  if (own != own_.end()) AddTo(own->second, &total);
-  auto others = others_total_.find(key);
-  if (others != others_total_.end()) AddTo(others->second, &total);
+  auto own = own_sums_.find(key);
+  if (own != own_sums_.end()) AddTo(own->second, &total);
+  auto others = peer_total_.find(key);
+  if (others != peer_total_.end()) AddTo(others->second, &total);
   return total;
 }
 
-VersionView Estimates::View(const std::string& version_key,
-                            uint32_t request_class) const {
-  VersionSum total = TotalOf(Key(version_key, request_class));
-  VersionView view;
-  view.answers = static_cast<double>(total.answers());
-  view.errors = static_cast<double>(total.errors());
-  view.weak = static_cast<double>(total.weak());
-  double good = view.answers - view.errors;
-  view.log_latency_mean = Mean(total.log_latency(), good);
-  view.log_latency_variance =
-      Variance(total.log_latency_squares(), total.log_latency(), good);
-  view.ratings = static_cast<double>(total.ratings());
-  view.rating_mean = Mean(total.rating_sum(), view.ratings);
-  view.rating_variance =
-      Variance(total.rating_squares(), total.rating_sum(), view.ratings);
-  view.confident_ratings = static_cast<double>(total.confident_ratings());
-  view.confident_rating_mean =
-      Mean(total.confident_rating_sum(), view.confident_ratings);
-  view.completion_tokens_mean = Mean(total.completion_tokens(), good);
-  return view;
-}
-
-Outlook Estimates::OutlookOf(const Version& version,
-                             uint32_t request_class) const {
-  VersionView view = View(KeyOf(version), request_class);
-  double good = view.answers - view.errors;
+VersionStats VersionEstimates::StatsFor(const std::string& version_key,
+                                        uint32_t request_class) const {
+  VersionSum total = ComputeTotal(Key(version_key, request_class));
+  VersionStats stats;
+  stats.answers = static_cast<double>(total.answers());
+  stats.errors = static_cast<double>(total.errors());
+  stats.weak = static_cast<double>(total.weak());
+  double succeeded = stats.answers - stats.errors;
+  stats.log_latency_mean = Mean(total.log_latency(), succeeded);
+  stats.log_latency_variance =
+      Variance(total.log_latency_squares(), total.log_latency(), succeeded);
+  stats.ratings = static_cast<double>(total.ratings());
+  stats.rating_mean = Mean(total.rating_sum(), stats.ratings);
+  stats.rating_variance =
+      Variance(total.rating_squares(), total.rating_sum(), stats.ratings);
+  stats.confident_ratings = static_cast<double>(total.confident_ratings());
+  stats.confident_rating_mean =
+      Mean(total.confident_rating_sum(), stats.confident_ratings);
+  stats.completion_tokens_mean = Mean(total.completion_tokens(), succeeded);
+  return stats;
+}
+
+ResponseEstimate VersionEstimates::EstimateResponse(
+    const Version& version, uint32_t request_class) const {
+  VersionStats stats = StatsFor(KeyOf(version), request_class);
+  double succeeded = stats.answers - stats.errors;
   double prior = version.prior_quality();
-  Outlook outlook;
-  outlook.ratings = view.ratings;
-  outlook.quality = WithPrior(view.rating_mean * view.ratings, view.ratings,
-                              prior, kPriorRatings) *
-                    (1 - Mean(view.errors, view.answers));
-  outlook.confident_quality =
-      WithPrior(view.confident_rating_mean * view.confident_ratings,
-                view.confident_ratings, prior, kPriorRatings);
-  outlook.weak_share =
-      WithPrior(view.weak, good, kPriorWeakShare, kPriorAnswers);
-  outlook.completion_tokens = WithPrior(view.completion_tokens_mean * good,
-                                        good, kPriorCompletion, kPriorAnswers);
-  return outlook;
+  ResponseEstimate estimate;
+  estimate.ratings = stats.ratings;
+  estimate.quality = MeanWithPrior(stats.rating_mean * stats.ratings,
+                                   stats.ratings, prior, kPriorRatings) *
+                     (1 - Mean(stats.errors, stats.answers));
+  estimate.confident_quality =
+      MeanWithPrior(stats.confident_rating_mean * stats.confident_ratings,
+                    stats.confident_ratings, prior, kPriorRatings);
+  estimate.weak_share =
+      MeanWithPrior(stats.weak, succeeded, kPriorWeakShare, kPriorAnswers);
+  estimate.completion_tokens =
+      MeanWithPrior(stats.completion_tokens_mean * succeeded, succeeded,
+                    kPriorCompletionTokens, kPriorAnswers);
+  return estimate;
 }
 
 }  // namespace leverwick
--- a/leverwick/estimates.h
+++ b/leverwick/version_estimates.h
@@ -6,13 +6,13 @@
 // come late, sampled, or not at all, so a version's quality starts from the
 // table's prior and moves with the ratings that came.
 //
-//   Estimates estimates("box-a1-7f", max_lives);
-//   estimates.Answered(version_key, request_class, observation);
-//   estimates.Rated(version_key, request_class, confident, 0.8);
+//   VersionEstimates estimates("box-a1-7f", max_lives);
+//   estimates.RecordResponse(version_key, request_class, observation);
+//   estimates.RecordRating(version_key, request_class, confident, 0.8);
 //   Outlook outlook = estimates.OutlookOf(version, request_class);
 
-#ifndef LEVERWICK_ESTIMATES_H_
-#define LEVERWICK_ESTIMATES_H_
+#ifndef LEVERWICK_VERSION_ESTIMATES_H_
+#define LEVERWICK_VERSION_ESTIMATES_H_
 
 #include <cstdint>
 #include <map>
@@ -35,7 +35,7 @@
 };
 
 // Sums over all lives, in a form that is cheap to read.
-struct VersionView {
+struct VersionStats {
   double answers = 0;
   double errors = 0;
   double weak = 0;
@@ -50,7 +50,7 @@
 };
 
 // What to expect of one answer.
-struct Outlook {
+struct ResponseEstimate {
   double quality = 0;            // rating, 0 for answers that fail
   double confident_quality = 0;  // rating of answers that are not weak
   double weak_share = 0;         // of unary answers
@@ -60,50 +60,52 @@
 
 // The time until sums of `bytes` may be sent again to so many receivers: often
 // while they are small, and never more than a fixed rate of bytes.
-Seconds SumsInterval(size_t bytes, size_t receivers);
+Seconds SumsBroadcastInterval(size_t bytes, size_t receivers);
 
 // Thread-safe.
-class Estimates {
+class VersionEstimates {
  public:
-  explicit Estimates(std::string life) : life_(std::move(life)) {}
+  explicit VersionEstimates(std::string incarnation)
+      : incarnation_(std::move(incarnation)) {}
 
-  void Answered(const std::string& version_key, uint32_t request_class,
-                const Observation& observation);
-  void Rated(const std::string& version_key, uint32_t request_class,
-             bool confident, double rating);
+  void RecordResponse(const std::string& version_key, uint32_t request_class,
+                      const Observation& observation);
+  void RecordRating(const std::string& version_key, uint32_t request_class,
+                    bool confident, double rating);
 
   // Halves this life's sums, so that old observations fade.
-  void Fade();
+  void Decay();
 
   // Takes another life's sums; older ones of the same life are replaced.
-  void Merge(const LifeSums& sums);
+  void MergePeerSums(const LifeSums& sums);
 
   // This life's sums, and those of others, for exchange and for the store.
   LifeSums own() const;
   std::vector<LifeSums> all() const;
 
-  VersionView View(const std::string& version_key,
-                   uint32_t request_class) const;
+  VersionStats StatsFor(const std::string& version_key,
+                        uint32_t request_class) const;
 
   // What to expect of a version's next answer; priors count as some
   // observations, so that the first ones don't swing it.
-  Outlook OutlookOf(const Version& version, uint32_t request_class) const;
+  ResponseEstimate EstimateResponse(const Version& version,
+                                    uint32_t request_class) const;
 
  private:
   using Key = std::pair<std::string, uint32_t>;
   using Sums = std::map<Key, VersionSum>;
 
-  VersionSum& Own(const std::string& version_key, uint32_t request_class);
-  VersionSum TotalOf(const Key& key) const;
+  VersionSum& OwnSum(const std::string& version_key, uint32_t request_class);
+  VersionSum ComputeTotal(const Key& key) const;
 
-  const std::string life_;
+  const std::string incarnation_;
   mutable std::mutex mutex_;
-  Sums own_;
+  Sums own_sums_;
   uint64_t own_version_ = 0;
-  std::map<std::string, LifeSums> others_;
-  Sums others_total_;
+  std::map<std::string, LifeSums> peer_sums_;
+  Sums peer_total_;
 };
 
 }  // namespace leverwick
 
-#endif  // LEVERWICK_ESTIMATES_H_
+#endif  // LEVERWICK_VERSION_ESTIMATES_H_
--- a/net/platform_client.cc
+++ b/net/platform_client.cc
@@ -40,7 +40,7 @@
   endpoint.address = value["address"].asString();
   endpoint.target = value["target"].asString();
   endpoint.data_centre = value["data_centre"].asString();
-  endpoint.places = value["places"].asUInt();
+  endpoint.max_in_flight = value["places"].asUInt();
   endpoint.leaving = value["leaving"].asBool();
   return endpoint;
 }
--- a/net/platform_client.h
+++ b/net/platform_client.h
@@ -12,7 +12,7 @@
 #include <system_error>
 #include <vector>
 
-#include "leverwick/endpoints.h"
+#include "leverwick/endpoint_pool.h"
 #include "leverwick/time.h"
 #include "net/http_client.h"
 #include "schema/peer.pb.h"
