--- a/leverwick/attempt_history.cc
+++ b/leverwick/attempt_history.cc
@@ -1,5 +1,5 @@
-// A try that reached no endpoint gives its attempt back: the bound is on
-// endpoints that a request is sent to.
+// An attempt that did not reach an endpoint does not count: the limit is on the
+// number of endpoints that a request is sent to.
 
 #include "leverwick/attempt_history.h"
 
--- a/leverwick/attempt_history.h
+++ b/leverwick/attempt_history.h
@@ -1,32 +1,34 @@
-// What happens to a request after one try at an endpoint.
+// AttemptHistory decides what happens to a request after each attempt at an
+// endpoint.
 //
-// The rules that keep a request from running twice, in one place: a request
-// that may have run is sent again only when its route lets it run again; the
-// number of endpoints it is sent to is bounded; and "not run" is answered only
-// while no try of it can have run or will.
+// It keeps requests from running twice by accident: a request that may have run
+// is retried only if its route is repeatable; the number of endpoints that a
+// request is sent to is bounded; and "not run" is returned only if no attempt
+// has run or may still run.
 //
-//   AttemptLog log(route.repeatable(), route.max_attempts);
-//   log.RecordAttempt();
-//   NextStep step = log.DecideNextStep(AttemptOutcome::kRefused, may_retry);
+//   AttemptHistory history(route.repeatable(), route.max_attempts);
+//   history.RecordAttempt();
+//   NextStep step =
+//       history.DecideNextStep(AttemptOutcome::kRefused, may_retry);
 
 #ifndef LEVERWICK_ATTEMPT_HISTORY_H_
 #define LEVERWICK_ATTEMPT_HISTORY_H_
 
 namespace leverwick {
 
-// How one try ended when it did not end with an answer to pass on.
+// How an attempt ended that returned no response to forward to the caller.
 enum class AttemptOutcome {
   kNotSent,  // no byte of the request can have reached the endpoint
-  kRefused,  // the endpoint says that it has not run the request
-  kFailed,   // the endpoint ran it and answered with a failure
-  kBroken,   // it was sent, and what became of it is not known
+  kRefused,  // the endpoint reports that it has not run the request
+  kFailed,   // the endpoint ran it and returned a failure
+  kBroken,   // it was sent, and its outcome is unknown
 };
 
 enum class NextStep {
   kRetry,           // at another endpoint
-  kRespondNotRun,   // nothing has run; the caller may come back
-  kForwardFailure,  // pass the endpoint's own failure on
-  kRespondUnknown,  // it may have run
+  kRespondNotRun,   // nothing has run; the caller may retry
+  kForwardFailure,  // forward the endpoint's own failure
+  kRespondUnknown,  // the outcome is unknown; it may have run
 };
 
 // For logs and metrics.
@@ -38,16 +40,20 @@
   AttemptHistory(bool repeatable, int max_attempts)
       : repeatable_(repeatable), max_attempts_(max_attempts) {}
 
-  // A try begins; it counts as one endpoint that the request is sent to.
+  // Records the start of an attempt. It counts as one endpoint that the request
+  // is sent to.
   void RecordAttempt() { ++attempts_; }
 
-  // The try's answer was given up for a better one: it has run.
+  // Records that the response of an attempt was discarded in favour of a better
+  // one. The request has run.
   void RecordDiscardedResponse() { may_have_run_ = true; }
 
-  // `may_retry`: the retry budget and the time left allow another try.
+  // Records the outcome of the latest attempt and returns what to do next.
+  // `may_retry` is true if the retry budget and the remaining time allow
+  // another attempt.
   NextStep DecideNextStep(AttemptOutcome outcome, bool may_retry);
 
-  // Whether some try has run or may have run.
+  // Returns whether some attempt has run or may have run.
   bool may_have_run() const { return may_have_run_; }
   int attempts() const { return attempts_; }
   bool has_attempts_left() const { return attempts_ < max_attempts_; }
--- a/leverwick/drained_data_centres.h
+++ b/leverwick/drained_data_centres.h
@@ -1,8 +1,8 @@
-// Data centres that operators have taken out of use for a while.
+// DrainedDataCentres holds the data centres that operators have drained.
 //
-// Nothing new is sent to the endpoints of a drained data centre: no first try,
-// no repeat and no larger model. What runs there ends there. The boxes in it go
-// on taking callers' requests.
+// No new request is sent to the endpoints of a drained data centre: no first
+// attempt, no retry and no escalation to a larger model. Requests that run
+// there complete. The boxes in it continue to accept requests from callers.
 //
 //   DrainedDataCentres drained;
 //   drained.Drain("dc1");  // by an operator's order, until it is withdrawn
@@ -20,7 +20,8 @@
 // Not thread-safe.
 class DrainedDataCentres {
  public:
-  // Both tell whether anything changed: orders are read more than once.
+  // Both return whether the state changed: the same order may be applied more
+  // than once.
   bool Drain(const std::string& data_centre) {
     return names_.insert(data_centre).second;
   }
--- a/leverwick/endpoint_incarnation.cc
+++ b/leverwick/endpoint_incarnation.cc
@@ -1,5 +1,5 @@
-// The start stands behind the id in milliseconds since 1970, in a form that no
-// id of the platform ends with.
+// The start time follows the id as a suffix in milliseconds since 1970. No
+// endpoint id of the platform ends in a suffix of this form.
 
 #include "leverwick/endpoint_incarnation.h"
 
--- a/leverwick/endpoint_incarnation.h
+++ b/leverwick/endpoint_incarnation.h
@@ -1,9 +1,9 @@
-// The name of one life of an endpoint: its id, and when it started if it says
-// so. An endpoint that starts again under its id is another one to whoever
-// remembers what the earlier one did, and all boxes give both the same names.
+// Names the incarnation of an endpoint: its id, and its start time if the
+// endpoint reports one. State that is kept by incarnation is not carried over
+// when an endpoint restarts under the same id. All boxes derive the same names.
 //
-//   std::string incarnation = LifeName("i-1", started_at);
-//   IdOfLife(life) == "i-1"
+//   std::string incarnation = IncarnationName("i-1", started_at);
+//   EndpointIdFromIncarnation(incarnation) == "i-1"
 
 #ifndef LEVERWICK_ENDPOINT_INCARNATION_H_
 #define LEVERWICK_ENDPOINT_INCARNATION_H_
@@ -15,7 +15,7 @@
 
 namespace leverwick {
 
-// Without a start the name is the id.
+// Returns `id` itself if there is no start time.
 std::string IncarnationName(const std::string& id,
                             std::optional<WallTime> started_at);
 
--- a/leverwick/endpoint_pool.cc
+++ b/leverwick/endpoint_pool.cc
@@ -1,9 +1,9 @@
-// Pick looks at the endpoint that rendezvous hashing prefers for the prefix
-// and at the least loaded one, and takes the preferred while its load is at
-// most kAffinityLoadSlack above the least. An endpoint that failed
-// kFailuresToEject times in a row is ejected for a time that doubles; when more
-// than half of a target is ejected the fault is more likely on our side, and
-// ejection is ignored.
+// Pick compares the endpoint that rendezvous hashing prefers for the prefix
+// with the least loaded one, and picks the preferred one if its load is at most
+// kAffinityLoadSlack above. Outlier ejection: an endpoint with kFailuresToEject
+// consecutive failures is ejected for a time that doubles with each further
+// failure. If more than kPanicThreshold of a target is ejected, the fault is
+// more likely local to this box, and ejection is ignored.
 
 #include "leverwick/endpoint_pool.h"
 
@@ -15,16 +15,16 @@
 namespace leverwick {
 namespace {
 
-constexpr double kAffinityLoadSlack = 0.25;
+constexpr double kAffinityLoadSlack = 0.25;  // of max_in_flight
 constexpr size_t kFailuresToEject = 3;
 constexpr Seconds kBaseEjection(1.0);
 constexpr Seconds kMaxEjection(30.0);
-constexpr double kPanicThreshold = 0.5;
-// A report loses half of its weight in this time.
+constexpr double kPanicThreshold = 0.5;  // share of the usable endpoints
 constexpr Seconds kLoadReportHalfLife(2.0);
-// An endpoint that said it leaves is not believed to be back before this.
+// How long an endpoint that reported that it is leaving is excluded, even if
+// the list contains it.
 constexpr Seconds kLeavingRetention(60.0);
-// Older reports are not passed on.
+// Older reports are not sent to peers.
 constexpr Seconds kMaxNoteAge(1.5);
 
 TimePoint EjectionEnd(size_t failures, TimePoint now) {
@@ -59,7 +59,8 @@
                                 Endpoint* endpoint) {
   endpoint->listed = listed;
   endpoint->is_listed = true;
-  // The list lags: it may still say live after the endpoint said it leaves.
+  // The list lags: it may contain an endpoint that already reported that it is
+  // leaving.
   bool expired = now - endpoint->leaving_since > kLeavingRetention;
   if (endpoint->leaving && expired) endpoint->leaving = false;
 }
@@ -68,7 +69,8 @@
                              TimePoint now) {
   std::map<std::string, std::string> by_address;
   for (Shard& shard : shards_) {
-    // A shard changes under one lock: a request must never see it half listed.
+    // A shard is updated under one lock, so that requests never observe a
+    // partly updated list.
     std::lock_guard<std::mutex> lock(shard.mutex);
     for (auto& target : shard.targets) {
       for (auto& entry : target.second) entry.second.is_listed = false;
@@ -85,7 +87,8 @@
 
 void EndpointPool::Put(const ListedEndpoint& endpoint, TimePoint now) {
   std::string before = FindTarget(endpoint.address);
-  // Requests that still run there count for the target that it has now.
+  // The endpoint has changed its target: requests that still run there complete
+  // under the new one.
   if (!before.empty() && before != endpoint.target) {
     Shard& old = ShardFor(before);
     std::lock_guard<std::mutex> lock(old.mutex);
--- a/leverwick/endpoint_pool.h
+++ b/leverwick/endpoint_pool.h
@@ -1,16 +1,18 @@
-// Which endpoint of a version takes a request.
+// EndpointPool holds the endpoints of each target and picks one for a request.
 //
-// A box's own requests in progress are exact; load reports are late and count
-// everyone's requests, so they are discounted with age; the platform's list
-// lags, so an endpoint's own word that it is leaving wins over it. A prompt
-// goes where its prefix was sent before (rendezvous hash), unless that
-// endpoint is much busier than another.
+// The number of requests that this box has in flight is exact. Load reports are
+// late and include the requests of all boxes, so their weight decays with age.
+// The platform's endpoint list lags, so an endpoint's own report that it is
+// leaving takes precedence. Requests with the same prompt prefix go to the same
+// endpoint (rendezvous hashing) unless that endpoint is much busier than the
+// least loaded one.
 //
 //   EndpointPool pool;
 //   pool.SetListed(endpoints, now);
 //   EndpointPool::Choice choice = pool.Pick({"swift", "3"}, prefix, {}, now);
-//   pool.RecordStart(choice.address); ... pool.RecordCompletion(choice.address,
-//   ok, now);
+//   pool.RecordStart(choice.address);
+//   ...
+//   pool.RecordCompletion(choice.address, ok, now);
 
 #ifndef LEVERWICK_ENDPOINT_POOL_H_
 #define LEVERWICK_ENDPOINT_POOL_H_
@@ -35,7 +37,7 @@
   std::string target;   // "model@version", or "service/NAME"
   std::string data_centre;
   std::string version;       // of its software; may be empty
-  size_t max_in_flight = 1;  // requests it serves at once
+  size_t max_in_flight = 1;  // concurrent requests that it serves
   bool leaving = false;
 };
 
@@ -49,66 +51,72 @@
 class EndpointPool {
  public:
   struct Choice {
-    std::string address;  // empty: no endpoint may take it
-    double load = 0;      // requests over max_in_flight, of the endpoint chosen
+    std::string address;  // empty if no endpoint is available
+    double load = 0;      // in-flight requests / max_in_flight
   };
 
-  // Replaces what the platform lists. Endpoints that vanish are kept while
-  // requests run on them.
+  // Replaces the list of endpoints. Endpoints that are no longer listed are
+  // kept until their requests complete.
   void SetListed(const std::vector<ListedEndpoint>& endpoints, TimePoint now);
-  // Adds or changes one endpoint of the list, or takes it away; one that is
-  // taken away is kept while requests run on it. Costs no look at the others,
-  // as a list that changes entry by entry needs.
+  // Put adds or updates one listed endpoint and Remove removes one; a removed
+  // endpoint is kept until its requests complete. Neither visits other
+  // endpoints, so that lists can be updated entry by entry at low cost.
   void Put(const ListedEndpoint& endpoint, TimePoint now);
   void Remove(const std::string& address);
 
-  // An endpoint's own report, or a peer's note of it.
+  // Records a load report, read from the endpoint itself or received from a
+  // peer.
   void RecordReport(const std::string& address, const LoadReport& report,
                     TimePoint now);
 
-  // Picks an endpoint for `target`. `affinity` is a hash of organisation and
-  // prompt prefix; `excluded` were tried already.
+  // Picks an endpoint of `target`. `affinity` is a hash of organisation and
+  // prompt prefix; `excluded` holds the endpoints that were already attempted.
   Choice Pick(const std::string& target, uint64_t affinity,
               const std::set<std::string>& excluded, TimePoint now) const;
 
-  // Whether a request may go to an endpoint at all.
+  // Returns whether a request may be sent to an endpoint at all.
   using Filter = std::function<bool(const ListedEndpoint&)>;
-  // What a request would cost at an endpoint; `preferred`: the one that the
-  // affinity hashes to.
+  // Returns the cost of sending a request to an endpoint. `preferred` is true
+  // for the endpoint that the affinity hashes to.
   using Cost = std::function<double(const ListedEndpoint&, bool preferred)>;
-  // The allowed endpoint of least cost; among equals the one preferred most.
+  // Picks the allowed endpoint with the lowest cost, and among those the one
+  // with the highest rendezvous weight.
   Choice PickCheapest(const std::string& target, uint64_t affinity,
                       const std::set<std::string>& excluded, TimePoint now,
                       const Filter& allowed, const Cost& cost) const;
 
-  // The simple reference of Pick: the least loaded of all, no affinity.
+  // Picks the least loaded endpoint, without affinity. Serves as the reference
+  // for Pick.
   Choice PickLeastLoaded(const std::string& target,
                          const std::set<std::string>& excluded,
                          TimePoint now) const;
 
   void RecordStart(const std::string& address);
-  // `good`: the endpoint answered; false ejects it after repeated failures.
+  // Records the end of a request. `good` is true if the endpoint responded;
+  // repeated failures eject the endpoint.
   void RecordCompletion(const std::string& address, bool good, TimePoint now);
 
-  // The endpoint says that it is leaving, or it refused connections.
+  // Marks an endpoint that reported that it is leaving, or that refused
+  // connections.
   void MarkLeaving(const std::string& address, TimePoint now);
 
-  // Whether any endpoint of the target may take work.
+  // Returns whether any endpoint of the target can be picked.
   bool HasUsable(const std::string& target, TimePoint now) const;
 
-  // Whether an endpoint of the target that is listed and does not leave is one
-  // that `filter` takes, also if it can't be used now.
+  // Returns whether `filter` accepts a listed endpoint of the target that is
+  // not leaving, including endpoints that cannot be picked at present.
   bool AnyListed(const std::string& target, const Filter& filter) const;
 
-  // Places of a target's usable endpoints.
+  // Returns the sum of max_in_flight over the endpoints of the target that can
+  // be picked.
   size_t TotalMaxInFlight(const std::string& target, TimePoint now) const;
 
-  // What to tell peers of an endpoint: this box's newest report of it. False
-  // when it has none that is recent.
+  // Fills `note` with the newest report that this box read from the endpoint,
+  // to send to peers. Returns false if there is no recent report.
   bool FillNote(const std::string& address, TimePoint now,
                 EndpointNote* note) const;
 
-  // A report this box read itself, which NoteOf passes on.
+  // Records a report that this box read from the endpoint itself, for FillNote.
   void RecordOwnReport(const std::string& address, const LoadReport& report,
                        TimePoint now);
 
@@ -121,13 +129,13 @@
     ListedEndpoint listed;
     bool is_listed = true;
     size_t own_in_flight = 0;
-    double others_in_flight = 0;  // others' requests at the report
+    double others_in_flight = 0;  // as of reported_at
     TimePoint reported_at{};
-    LoadReport own_report;  // by this box, passed on to peers
+    LoadReport own_report;  // read by this box, sent to peers
     TimePoint own_report_at{};
-    bool leaving = false;  // by its own word
+    bool leaving = false;  // reported by the endpoint
     TimePoint leaving_since{};
-    size_t consecutive_failures = 0;  // in a row
+    size_t consecutive_failures = 0;
     TimePoint ejected_until{};
   };
   using Endpoints = std::map<std::string, Endpoint>;
@@ -138,11 +146,12 @@
   static constexpr size_t kShards = 16;
 
   Shard& ShardFor(const std::string& target) const;
-  // Drops an endpoint that is neither listed nor in use.
+  // Removes an endpoint that is neither listed nor has requests in flight.
   void DropUnused(const std::string& address);
   template <typename Function>
   void WithEndpoint(const std::string& address, Function function) const;
-  // Drops what is neither listed nor in use; adds the rest to `by_address`.
+  // Removes the endpoints that are neither listed nor have requests in flight;
+  // adds the others to `by_address`.
   static void Prune(Shard* shard,
                     std::map<std::string, std::string>* by_address);
   static bool IsUsable(const Endpoint& endpoint);
--- a/leverwick/endpoint_selector.cc
+++ b/leverwick/endpoint_selector.cc
@@ -1,5 +1,8 @@
-// Looks at every endpoint that may take the request; a service has a few
-// hundred at most.
+// Select evaluates every endpoint that may run the request; a service has a few
+// hundred endpoints at most. It considers endpoints that were not attempted
+// yet, first those on the request's side of the roll-out and then those of
+// either side. If there are none, it considers all endpoints but the one that
+// was attempted last.
 
 #include "leverwick/endpoint_selector.h"
 
@@ -11,19 +14,21 @@
 
 namespace {
 
-// Drains last for seconds to hours, and no order says how long; a caller that
-// comes back each second costs little and is late by a second at most.
+// The retry-after time while all eligible endpoints are in drained data
+// centres. Drains last for seconds to hours and their end is not known in
+// advance; one retry per second costs little and notices the end within a
+// second.
 constexpr milliseconds kDrainedRetryAfter{1000};
-// Dearer than any wait that another endpoint could mean.
+// Exceeds any wait that another endpoint could cause.
 constexpr Seconds kLastResortPenalty{1000};
 
 }  // namespace
 
 std::string EndpointSelector::Select(const EndpointCriteria& criteria,
                                      TimePoint now) const {
-  // A return to the version before may be found bad as well, by chance: without
-  // this no version is left and the service has no endpoint until the next
-  // order.
+  // The version that a roll-out returned to may be found unhealthy as well, by
+  // chance. Without this fallback no version would be eligible, and the service
+  // would have no endpoint until the next order.
   if (!criteria.allow_unhealthy_versions &&
       AllListedUnhealthy(criteria.service)) {
     EndpointCriteria any = criteria;
@@ -31,7 +36,8 @@
     return Select(any, now);
   }
   std::string chosen = SelectExcluding(criteria, criteria.attempted, now);
-  // With few endpoints, one that was attempted before may be attempted again.
+  // With few endpoints, an endpoint that was attempted before may be attempted
+  // again, except the last one.
   if (chosen.empty() && criteria.attempted.size() > 1) {
     chosen = SelectExcluding(criteria, {criteria.last_attempted}, now);
   }
@@ -43,14 +49,15 @@
     TimePoint now) const {
   std::string chosen = SelectOnSide(criteria.side, criteria, excluded, now);
   if (!chosen.empty()) return chosen;
-  // What the version before has no room for must not raise the share of
-  // requests that a new one gets.
+  // Requests that exceed the limits of the baseline version must not go to the
+  // target version: that would raise its share of the requests above the
+  // roll-out step.
   if (criteria.side == Side::kBaseline) {
     EndpointCriteria open = criteria;
     open.gates = SendGates::Scope::kIgnoreRequested;
     if (!SelectOnSide(criteria.side, open, excluded, now).empty()) return "";
   }
-  // A version without endpoints of its own leaves its requests to the other.
+  // If one version has no usable endpoints, the other one gets its requests.
   return SelectOnSide(Side::kAny, criteria, excluded, now);
 }
 
@@ -75,7 +82,8 @@
 
 bool EndpointSelector::AllListedUnhealthy(const std::string& service) const {
   const ServiceRollouts& rollouts = *facts_.rollouts;
-  // Most services have no bad version: no look at the list.
+  // Avoids the scan of the list for services without an unhealthy version,
+  // which are most.
   if (rollouts.MayUseTarget(service)) return false;
   return !facts_.pool->AnyListed(service, [&](const ListedEndpoint& endpoint) {
     return !rollouts.IsBad(service, endpoint.version);
@@ -123,19 +131,19 @@
                                           TimePoint now) const {
   bool listed = false;
   std::optional<nanoseconds> earliest;
-  auto look = [&](const ListedEndpoint& endpoint) {
+  auto visit = [&](const ListedEndpoint& endpoint) {
     listed = true;
     if (!IsEligible(endpoint, criteria)) return false;
     nanoseconds time_until_open = facts_.gates->OpensIn(endpoint, now);
     earliest = std::min(time_until_open, earliest.value_or(time_until_open));
-    return false;  // only looked at
+    return false;  // visits the endpoint without selecting it
   };
   auto no_cost = [](const ListedEndpoint&, bool) { return 0.0; };
-  facts_.pool->PickCheapest(criteria.service, criteria.affinity, {}, now, look,
+  facts_.pool->PickCheapest(criteria.service, criteria.affinity, {}, now, visit,
                             no_cost);
   if (listed && !earliest) return kDrainedRetryAfter;
-  // What an endpoint may take now has been attempted: it is looked for as if
-  // none were within reach.
+  // Endpoints that are eligible now have been attempted already, so the caller
+  // waits as long as if all endpoints were unreachable.
   if (!earliest || *earliest <= nanoseconds(0)) {
     return Reachability::kProbeInterval;
   }
--- a/leverwick/endpoint_selector.h
+++ b/leverwick/endpoint_selector.h
@@ -1,17 +1,21 @@
-// Which endpoint of a service a try goes to.
+// EndpointSelector selects the endpoint of a service for one attempt of a
+// request.
 //
-// The endpoint whose answer would begin first, weighed: what reading the prompt
-// there would hold up, what bytes to another data centre cost, and what is
-// known of cut-off data centres count as waiting. A roll-out decides which of
-// its two versions may take the request; an endpoint that was attempted before
-// is taken again only if there is no other. One that SendGates shuts, in a data
-// centre that is drained or outside the request's home regions is never taken.
+// It selects the endpoint with the lowest expected time to the first byte of
+// the response, to which it adds penalties, all in seconds: the delay that
+// reading the prompt causes to other requests, the cost of sending bytes to
+// another data centre, and a penalty for data centres that appear partitioned.
+// During a roll-out, the request's side decides which of the two versions may
+// run it. An endpoint that was attempted before is selected again only if there
+// is no other. An endpoint that SendGates blocks, that is in a drained data
+// centre or that is outside the request's home regions is never selected.
 //
-//   EndpointChoice choice(EndpointChoice::Facts{...}, remote_cost,
-//   data_centre); std::string id = choice.Select(criteria, now); if
-//   (id.empty()) {
-//     Result why = choice.WhyNone(criteria, now);
-//     milliseconds come_back_after = choice.ComeBackAfter(criteria, now);
+//   EndpointSelector selector(EndpointSelector::Facts{...}, remote_cost,
+//                             data_centre);
+//   std::string id = selector.Select(criteria, now);
+//   if (id.empty()) {
+//     Result why = selector.ReasonForNone(criteria, now);
+//     milliseconds retry_after = selector.RetryAfter(criteria, now);
 //   }
 
 #ifndef LEVERWICK_ENDPOINT_SELECTOR_H_
@@ -35,27 +39,28 @@
 
 namespace leverwick {
 
-// What a try asks for.
+// What one attempt requires of an endpoint.
 struct EndpointCriteria {
   std::string service;
   ServiceRollouts::Side side = ServiceRollouts::Side::kAny;
-  // Requests with the same value are best sent to the same endpoint.
+  // Requests with the same affinity are preferably sent to the same endpoint,
+  // which then has their prompt prefix cached.
   uint64_t affinity = 0;
   EngineWork work;
   size_t body_bytes = 0;
   HomeRegions homes;
-  std::set<std::string> attempted;  // ids
-  std::string last_attempted;       // empty: none
-  // Set by the choice itself:
-  // No sound version is listed: one that was found bad before the newest order
-  // is better than none.
+  std::set<std::string> attempted;  // endpoint ids
+  std::string last_attempted;       // empty if none
+  // The fields below are set by EndpointSelector. If true, versions that were
+  // found unhealthy before the newest order may be selected, because no healthy
+  // version is listed.
   bool allow_unhealthy_versions = false;
   SendGates::Scope gates = SendGates::Scope::kAll;
 };
 
 class EndpointSelector {
  public:
-  // What is known of endpoints; all of it must outlive the choice.
+  // Sources of the state of endpoints. All must outlive the selector.
   struct Facts {
     const EndpointPool* pool;
     const ServiceRollouts* rollouts;
@@ -65,7 +70,7 @@
     const RecentRefusals* refusals;
   };
 
-  // `data_centre`: of this box.
+  // `data_centre` is the data centre of this box.
   EndpointSelector(const Facts& facts, RemoteCost remote_cost,
                    std::string data_centre, RegionMap regions = {})
       : facts_(facts),
@@ -73,25 +78,27 @@
         data_centre_(std::move(data_centre)),
         regions_(std::move(regions)) {}
 
-  // The endpoint's id; empty when none may take the request.
+  // Returns the id of the endpoint to send to, or an empty string if no
+  // endpoint is eligible.
   std::string Select(const EndpointCriteria& criteria, TimePoint now) const;
 
-  // The endpoint for which a permit should be asked: one that would be chosen
-  // with it. Empty when the best choice needs none.
+  // Returns the endpoint for which a permit should be requested: the one that
+  // Select would return if this box held a permit for it. Empty if that
+  // endpoint needs no permit.
   std::string SelectForPermitRequest(const EndpointCriteria& criteria,
                                      TimePoint now) const;
 
-  // What keeps the request from all endpoints, where none may take it: limits
-  // that they name, back-offs that they ask for, or anything else.
+  // Returns why no endpoint is eligible: rate limits that endpoints report,
+  // back-offs that they requested, or anything else.
   Result ReasonForNone(const EndpointCriteria& criteria, TimePoint now) const;
 
-  // When an endpoint may take the request that none takes now: what its caller
-  // is told.
+  // Returns how long until an endpoint may become eligible. It is sent to the
+  // caller as the retry-after time.
   milliseconds RetryAfter(const EndpointCriteria& criteria,
                           TimePoint now) const;
 
-  // What an endpoint would cost, in waiting. `preferred`: the one that the
-  // affinity hashes to.
+  // Returns the cost of sending the request to `endpoint`, expressed as waiting
+  // time. `preferred` is true for the endpoint that the affinity hashes to.
   Seconds ComputeCost(const ListedEndpoint& endpoint,
                       const EndpointCriteria& criteria, bool preferred,
                       TimePoint now) const;
@@ -105,12 +112,13 @@
                            const std::set<std::string>& excluded,
                            TimePoint now) const;
 
-  // Whether all listed endpoints of a service are of versions found bad.
+  // Returns whether all listed endpoints of the service run versions that were
+  // found unhealthy.
   bool AllListedUnhealthy(const std::string& service) const;
   bool AnyWithScope(SendGates::Scope gates, const EndpointCriteria& criteria,
                     TimePoint now) const;
-  // Whether neither an operator's order, a version that was found bad nor the
-  // request's homes forbid it.
+  // Returns whether the endpoint is allowed by the drained data centres, the
+  // health of its version and the request's home regions.
   bool IsEligible(const ListedEndpoint& endpoint,
                   const EndpointCriteria& criteria) const;
 
--- a/leverwick/engine_loads.cc
+++ b/leverwick/engine_loads.cc
@@ -1,6 +1,6 @@
-// The model of a kind is the fast side of what was seen: an estimate falls at
-// once to a faster answer's and rises slowly to slower ones, so that delays
-// are not learned as normal.
+// The latency model of a kind tracks the low end of the observed times: an
+// estimate decreases quickly towards shorter times and increases slowly towards
+// longer ones, so that queueing delays are not taken for the normal latency.
 
 #include "leverwick/engine_loads.h"
 
@@ -12,37 +12,42 @@
 namespace leverwick {
 namespace {
 
-// Parts sent within this are taken to be kept still: engines of the present
-// sites read their whole memory's worth of tokens in 30 s and more.
+// Prompt parts that were sent within this time are assumed to be cached still.
+// Engines need 30 s or more to process as many tokens as their cache holds.
 constexpr std::chrono::seconds kCacheRetention{20};
-// What other boxes are taken to have had read at the preferred endpoint, of
-// parts that this box knows nothing of. Serves where some boxes don't tell.
+// The share of a shared prompt part that is assumed to be cached at the
+// preferred endpoint because of other boxes' requests, if this box has no
+// record of it. It matters where some boxes do not report their prompts.
 constexpr double kAssumedPeerCachedShare = 0.5;
-// Reading a token here delays the requests beside it as well.
+// Prefill of a token also delays the other requests at the endpoint; this
+// factor includes them.
 constexpr double kPrefillInterference = 6;
-// Delays below this are the engines' ordinary unevenness.
+// Delays below this are ordinary variation of the engines.
 constexpr double kDelayTolerance = 0.3;  // seconds
-// A delay that was seen counts half after this time.
+// The weight of an observed delay halves in this time.
 constexpr double kDelayHalfLife = 1.0;  // seconds
-// Weight of a new answer in an endpoint's delay.
+// Exponential smoothing factor of an endpoint's delay.
 constexpr double kDelaySmoothing = 0.5;
-// What part of the way a kind's model goes to a slower answer's, and to a
-// faster one's.
+// Exponential smoothing factors of the latency model, towards longer and
+// towards shorter times.
 constexpr double kLatencyRiseRate = 0.02;
 constexpr double kLatencyFallRate = 0.3;
-// Answers whose prompts are at least this long tell the model of reading.
-constexpr double kLongPromptTokens = 1000;  // tokens
-// An endpoint that failed is avoided like one that is so much later, fading.
+// Responses to prompts of at least this many uncached tokens update the prefill
+// rate, others the base latency.
+constexpr double kLongPromptTokens = 1000;
+// A failure counts as a delay of this length, which decays like an observed
+// one.
 constexpr double kFailureDelay = 3;  // seconds
-// A delay that has faded to this no longer tells endpoints apart.
+// Delays below this no longer distinguish endpoints and are dropped.
 constexpr double kNegligibleDelay = 0.01;  // seconds
-// So many endpoints of a data centre failing, and none answering, is a cut
-// rather than their own fault. While it is avoided, a request that finds no
-// place elsewhere still goes there and shows whether it is over.
+// If this many endpoints of a data centre have failed and none has responded
+// since, the cause is taken to be a network partition rather than the
+// endpoints. While the data centre is avoided, a request that finds no capacity
+// elsewhere still goes there and detects the end of the partition.
 constexpr size_t kPartitionEndpoints = 3;
 constexpr std::chrono::seconds kPartitionMemory{2};
 constexpr double kPartitionDelay = 1;  // seconds
-// One request beside another slows both a little.
+// Each concurrent request adds this delay.
 constexpr double kConcurrencyDelay = 0.002;  // seconds
 
 uint64_t PartKey(const std::string& model, const std::string& part) {
@@ -63,7 +68,8 @@
            now - sent->second < kCacheRetention;
   };
   double uncached_tokens = 0;
-  bool all_cached = true;  // a part counts only if every part before it is kept
+  bool all_cached =
+      true;  // a part is usable only if all earlier ones are cached
   for (size_t i = 0; i < work.prompt->size(); ++i) {
     const PromptPart& part = (*work.prompt)[i];
     all_cached = all_cached && is_cached(part);
@@ -163,7 +169,8 @@
     cached[key] = now;
     sent.parts.push_back(key);
   }
-  // No other box's prompt has the last part, which is the request's own.
+  // The last part is specific to the request, so other boxes' prompts never
+  // share it.
   if (!sent.parts.empty()) sent.parts.pop_back();
   if (observer_ == nullptr) return;
   pending_.at(ticket).observer_notified = true;
@@ -229,7 +236,7 @@
   Endpoint& endpoint = endpoints_[found->second.endpoint];
   endpoint.delay = std::max(DecayedDelay(endpoint, now), kFailureDelay);
   endpoint.delay_at = now;
-  // What it had read may be gone with it.
+  // Its prefix cache may be lost.
   endpoint.cached_parts.clear();
   Failures& failures = failures_[data_centre];
   failures.endpoints.insert(found->second.endpoint);
--- a/leverwick/engine_loads.h
+++ b/leverwick/engine_loads.h
@@ -1,18 +1,20 @@
-// How long a request would wait at each endpoint before its answer begins.
+// EngineLoads estimates how long a request would wait at each endpoint until
+// its response starts (the time to first token).
 //
-// A prompt is read where its shared parts are kept, unless that endpoint is
-// busier than reading them again elsewhere would cost. What counts as busy is
-// what the endpoint still has to read for this box and, as far as they tell,
-// for the others, how long this box's prompts have waited already, and how much
-// later than expected its last answers began. What other boxes do not tell
-// shows in the latter two.
+// A prompt is preferably sent to the endpoint that has its shared parts in its
+// prefix cache, unless that endpoint is busier than a second prefill elsewhere
+// would cost. The load of an endpoint is estimated from the pending prefill of
+// this box's prompts and of those that peers report, from how long this box's
+// prompts have been waiting, and from how much later than expected its recent
+// responses started. The last two also reflect the requests of boxes that do
+// not report.
 //
 //   EngineLoads loads;
-//   milliseconds wait = loads.ExpectedWait(endpoint, work, preferred, now);
+//   Seconds wait = loads.ExpectedWait(endpoint, work, preferred, now);
 //   uint64_t ticket = loads.RecordSend(endpoint, work, now);
-//   loads.RecordResponseStart(ticket, now);   // its answer has begun
-//   loads.RecordFinish(ticket);        // or it ended in another way
-//   loads.PeerSent(prompt, now);  // what another box tells
+//   loads.RecordResponseStart(ticket, now);  // its response has started
+//   loads.RecordFinish(ticket);              // or it ended without one
+//   loads.RecordPeerSend(prompt, now);       // reported by another box
 
 #ifndef LEVERWICK_ENGINE_LOADS_H_
 #define LEVERWICK_ENGINE_LOADS_H_
@@ -29,9 +31,9 @@
 
 namespace leverwick {
 
-// What is asked of an endpoint.
+// The work that a request causes at an endpoint.
 struct EngineWork {
-  std::string kind;  // route and model: answers of a kind begin alike
+  std::string kind;  // route and model, which share a latency model
   std::string model;
   const Prompt* prompt = nullptr;
 };
@@ -39,98 +41,113 @@
 // Not thread-safe.
 class EngineLoads {
  public:
-  // Hears of this box's prompts, to tell other boxes.
+  // Called for the prompts that this box sends, to report them to other boxes.
   class Observer {
    public:
     virtual ~Observer() = default;
-    // `life` is left to the observer.
+    // `prompt.life` is not set; the observer fills it in.
     virtual void OnPromptSent(const SentPrompt& prompt) = 0;
+    // The prompt has been read, or the request ended before that.
     virtual void OnPrefillDone(uint64_t ticket) = 0;
   };
-  // Null: nobody. The observer must outlive its place.
+  // Sets the observer, or none if null. It must outlive this object or be
+  // reset.
   void SetObserver(Observer* observer) { observer_ = observer; }
 
-  // The time until the answer would begin. `preferred`: the endpoint that
-  // other boxes, too, choose for these parts when nothing else tells.
+  // Returns the expected time until the response would start. `preferred` is
+  // true for the endpoint that all boxes prefer for these prompt parts while no
+  // cache state is known.
   Seconds ExpectedWait(const std::string& endpoint, const EngineWork& work,
                        bool preferred, TimePoint now) const;
 
-  // The time until an answer begins: for reading its own prompt, and for what
-  // others hold up there.
+  // UnloadedWait returns the expected time until the response starts on an idle
+  // endpoint; QueueDelay returns the additional delay that other requests cause
+  // there.
   Seconds UnloadedWait(const std::string& endpoint, const EngineWork& work,
                        TimePoint now) const;
   Seconds QueueDelay(const std::string& endpoint, TimePoint now) const {
     return PendingPrefill(endpoint) + ObservedDelay(endpoint, now);
   }
 
+  // Records that a request is sent, and returns its ticket.
   uint64_t RecordSend(const std::string& endpoint, const EngineWork& work,
                       TimePoint now);
-  // How long the endpoint is expected to read the prompt of a ticket.
+  // Returns the expected prefill time of the prompt of a ticket; 0 if the
+  // ticket is unknown.
   Seconds ExpectedPrefill(uint64_t ticket) const;
+  // Records that the response has started, and updates the latency model.
   void RecordResponseStart(uint64_t ticket, TimePoint now);
+  // Stops tracking a request that ended before its response started.
   void RecordFinish(uint64_t ticket);
-  // The endpoint could not be reached or broke off before it answered.
+  // Records that the endpoint could not be reached or closed the connection
+  // before it responded.
   void RecordFailure(uint64_t ticket, const std::string& data_centre,
                      TimePoint now);
-  // The endpoint has started again: it has read no prompt, and how late its
-  // answers were says nothing any more.
+  // Records that the endpoint restarted: its prefix cache is empty, and its
+  // earlier delays no longer apply.
   void RecordRestart(const std::string& endpoint);
-  // It answered, so its data centre can be reached.
+  // Records a response from an endpoint of the data centre, which is thus
+  // reachable.
   void RecordReachable(const std::string& data_centre);
-  // The wait to add for a data centre that could not be reached lately.
+  // Returns the wait to add for a data centre that appears to be partitioned.
   Seconds PartitionPenalty(const std::string& data_centre, TimePoint now) const;
 
-  // Another box has sent a prompt; its parts are kept there from now on.
+  // Records a prompt that another box sent; its shared parts count as cached at
+  // the endpoint from now on.
   void RecordPeerSend(const SentPrompt& prompt, TimePoint now);
-  // That prompt has been read, or given up.
+  // Records that the prefill of a peer's prompt is done or was abandoned.
   void RecordPeerPrefill(uint32_t life, uint64_t ticket) {
     peer_prompts_.Read(life, ticket);
   }
 
-  // Forgets parts that have not been used for long, and idle endpoints.
+  // Removes cached parts that have expired, and idle endpoints.
   void Expire(TimePoint now);
 
  private:
   struct Pending {
     std::string endpoint;
     std::string kind;
-    double uncached_tokens = 0;  // tokens
-    double expected_wait = 0;    // seconds until the answer begins
-    double prefill_seconds = 0;  // seconds of those spent on reading
+    double uncached_tokens = 0;
+    double expected_wait = 0;    // seconds until the response starts
+    double prefill_seconds = 0;  // included in expected_wait
     TimePoint sent{};
-    bool observer_notified = false;  // to the observer
+    bool observer_notified = false;
   };
   struct Endpoint {
-    // When each part was last sent here, by model and part.
+    // Time of the last send of each prompt part, by key of model and part.
     std::unordered_map<uint64_t, TimePoint> cached_parts;
-    std::map<uint64_t, TimePoint>
-        awaiting_response;       // tickets, by when they were sent
-    double prefill_seconds = 0;  // seconds, of those
-    double delay = 0;            // seconds beyond expectation, fading
+    // Send times by ticket; tickets are in the order of sending.
+    std::map<uint64_t, TimePoint> awaiting_response;
+    double prefill_seconds = 0;  // sum over awaiting_response
+    double delay = 0;            // seconds above expected_wait, as of delay_at
     TimePoint delay_at{};
   };
-  // How fast answers of a kind begin where nothing delays them.
+  // Predicts the time until the response starts for requests of a kind on an
+  // idle endpoint.
   struct LatencyModel {
-    double base_seconds = 0.03;       // beside the reading
-    double seconds_per_token = 5e-5;  // of reading
+    double base_seconds = 0.03;       // without prefill
+    double seconds_per_token = 5e-5;  // of prefill
   };
-  // Endpoints of one data centre that failed since one of it last answered.
+  // Endpoints of one data centre that failed since one of them last responded.
   struct Failures {
     std::set<std::string> endpoints;
     TimePoint last{};
   };
 
-  // Tokens of the prompt that the endpoint would have to read.
+  // Returns the expected number of prompt tokens that the endpoint does not
+  // have in its cache.
   double UncachedTokens(const std::string& endpoint, const EngineWork& work,
                         bool preferred, TimePoint now) const;
   static double DecayedDelay(const Endpoint& endpoint, TimePoint now);
   const LatencyModel& LatencyModelFor(const std::string& kind) const;
-  // How much later than expected answers begin there now.
+  // Returns how much later than expected responses start there at present.
   Seconds ObservedDelay(const std::string& endpoint, TimePoint now) const;
-  // What the endpoint still has to read, for all boxes that tell.
+  // Returns the pending prefill time at the endpoint, for this box and for the
+  // boxes that report.
   Seconds PendingPrefill(const std::string& endpoint) const;
   void UpdateLatencyModel(const Pending& pending, double elapsed);
-  // Remembers that the parts are kept there, and tells the observer.
+  // Marks the prompt parts as cached at the endpoint, and notifies the
+  // observer.
   void RecordCachedParts(uint64_t ticket, const EngineWork& work,
                          TimePoint now);
 
--- a/leverwick/home_regions.h
+++ b/leverwick/home_regions.h
@@ -1,9 +1,9 @@
-// Regions in which a request may be worked on.
+// HomeRegions restricts the regions in which a request may run.
 //
-// An operator may name home regions for a route, for an organisation or for
-// both; each list binds by itself, and an empty one binds nothing. Only
-// endpoints are meant: any box may take a request from its caller, and no box
-// passes one on to another.
+// An operator may configure home regions for a route, for an organisation or
+// for both. Each list applies independently, and an empty list allows all
+// regions. The restriction applies to endpoints only: any box may accept a
+// request from its caller, and boxes do not forward requests to each other.
 //
 //   HomeRegions homes{&route.homes, &holder.homes};
 //   if (homes.Allows(regions.RegionFor(endpoint.data_centre))) ...
@@ -19,15 +19,15 @@
 
 namespace leverwick {
 
-// Where the data centres are, as the settings say.
+// Maps data centres to their regions, as configured.
 class RegionMap {
  public:
   RegionMap() = default;
   explicit RegionMap(std::map<std::string, std::string> by_data_centre)
       : by_data_centre_(std::move(by_data_centre)) {}
 
-  // Empty for a data centre that the settings don't name; no list of homes
-  // holds that.
+  // Returns the region of the data centre, or an empty string if it is not
+  // configured. No list of home regions contains the empty string.
   const std::string& RegionFor(const std::string& data_centre) const {
     static const std::string unknown;
     auto found = by_data_centre_.find(data_centre);
@@ -38,7 +38,8 @@
   std::map<std::string, std::string> by_data_centre_;
 };
 
-// What a request's route and organisation ask for. Null: nothing.
+// The home regions of the route and of the organisation of a request. A null
+// pointer allows all regions.
 struct HomeRegions {
   const std::vector<std::string>* route = nullptr;
   const std::vector<std::string>* organisation = nullptr;
--- a/leverwick/reachability.h
+++ b/leverwick/reachability.h
@@ -1,12 +1,17 @@
-// Which endpoints can't be reached, as far as this box has found.
+// Reachability is a circuit breaker for connections to endpoints, from this
+// box's point of view.
 //
-// An endpoint behind a cut answers no connection attempt. Once two in a row
-// have run out of time, requests leave the endpoint alone, but for one now and
-// then that finds out whether it is back. So a request whose endpoints are all
-// beyond reach is told at once and not held until its time is up.
+// An endpoint behind a network partition does not respond to connection
+// attempts. After two consecutive connect timeouts the endpoint counts as
+// unreachable and gets no requests, except for a periodic probe request that
+// detects recovery. A request whose endpoints are all unreachable thus fails at
+// once instead of waiting until its deadline.
 //
 //   Reachability reach;
-//   if (reach.MayTry(endpoint, now)) { reach.Trying(endpoint, now); ... }
+//   if (reach.AllowsAttempt(endpoint, now)) {
+//     reach.RecordAttempt(endpoint, now);
+//     ...
+//   }
 //   reach.RecordTimeout(endpoint, now);  // or reach.RecordResponse(endpoint)
 //   reach.Expire(now);
 
@@ -23,8 +28,9 @@
 // Not thread-safe.
 class Reachability {
  public:
-  // Time between two attempts at an endpoint beyond reach. A box notices the
-  // end of a cut this late at most; a request in so long pays for finding out.
+  // Time between two probes of an unreachable endpoint. A box detects the end
+  // of a partition at most this late, at the price of one delayed request per
+  // interval.
   static constexpr milliseconds kProbeInterval{500};
 
   bool AllowsAttempt(const std::string& endpoint, TimePoint now) const {
@@ -33,14 +39,15 @@
            now - found->second.last_attempt >= kProbeInterval;
   }
 
-  // A request goes there; if it is a probe, others wait for what it finds.
+  // Records that a request is sent to the endpoint. If it is a probe, it blocks
+  // other requests until its outcome is known or the probe interval has passed.
   void RecordAttempt(const std::string& endpoint, TimePoint now) {
     auto found = timeouts_.find(endpoint);
     if (found == timeouts_.end()) return;
     if (found->second.is_unreachable()) found->second.last_attempt = now;
   }
 
-  // The endpoint did not answer a connection attempt in time.
+  // Records a connection attempt that timed out.
   void RecordTimeout(const std::string& endpoint, TimePoint now) {
     TimeoutStreak& streak = timeouts_[endpoint];
     ++streak.count;
@@ -51,7 +58,7 @@
     timeouts_.erase(endpoint);
   }
 
-  // Forgets endpoints that nobody has tried for long.
+  // Removes endpoints without an attempt within kIdleExpiry.
   void Expire(TimePoint now) {
     for (auto entry = timeouts_.begin(); entry != timeouts_.end();) {
       bool expired = now - entry->second.last_attempt > kIdleExpiry;
@@ -62,16 +69,16 @@
   size_t size() const { return timeouts_.size(); }
 
  private:
-  // Longer than any pause in which a listed endpoint gets no request.
+  // Longer than any period in which a listed endpoint gets no request.
   static constexpr std::chrono::seconds kIdleExpiry{60};
 
-  // Attempts in a row that got no answer: a single opening packet may be lost
-  // on a link that is otherwise sound.
+  // Consecutive timeouts after which an endpoint counts as unreachable. One is
+  // not enough: a single SYN packet may be lost on a healthy link.
   static constexpr int kTimeoutsToUnreachable = 2;
 
   struct TimeoutStreak {
-    int count = 0;             // in a row
-    TimePoint last_attempt{};  // when it was last tried or found silent
+    int count = 0;             // consecutive
+    TimePoint last_attempt{};  // the last probe or timeout
     bool is_unreachable() const { return count >= kTimeoutsToUnreachable; }
   };
 
--- a/leverwick/recent_refusals.h
+++ b/leverwick/recent_refusals.h
@@ -1,12 +1,15 @@
-// Endpoints that have turned requests away without a time to come back.
+// RecentRefusals tracks endpoints that refused requests without a Retry-After
+// time.
 //
-// One that refuses at once has nothing to do, so that it looks best to every
-// box and draws more requests than those that work. For a time that doubles
-// with each refusal in a row it is a last resort: it is taken only where no
-// other endpoint may take the request. One request then finds out.
+// An endpoint that refuses at once has no load, so it looks best to every box
+// and would attract more requests than the endpoints that work. After a refusal
+// it is a last resort for a penalty time that doubles with each consecutive
+// refusal: it is selected only if no other endpoint is eligible. When the
+// penalty ends, the next request acts as a probe.
 //
 //   RecentRefusals refusals;
-//   refusals.RecordRefusal(endpoint, now);  // or refusals.Took(endpoint)
+//   refusals.RecordRefusal(endpoint, now);
+//   // or refusals.RecordAcceptance(endpoint);
 //   if (refusals.IsLastResort(endpoint, now)) ...
 
 #ifndef LEVERWICK_RECENT_REFUSALS_H_
@@ -23,21 +26,21 @@
 // Not thread-safe.
 class RecentRefusals {
  public:
-  // A full endpoint has room again soon; one that goes on refusing is asked
-  // about once a second.
+  // A full endpoint usually has capacity again shortly; one that continues to
+  // refuse is probed about once per second.
   static constexpr milliseconds kInitialPenalty{50};
   static constexpr milliseconds kMaxPenalty{1600};
 
   void RecordRefusal(const std::string& endpoint, TimePoint now) {
     Penalty& penalty = endpoints_[endpoint];
-    // Requests that were under way together count as one.
+    // Refusals of requests that were in flight together count as one.
     if (now < penalty.until) return;
     milliseconds doubled = std::min(2 * penalty.duration, kMaxPenalty);
     penalty.duration = std::max(doubled, kInitialPenalty);
     penalty.until = now + penalty.duration;
   }
 
-  // The endpoint has taken a request.
+  // Records that the endpoint accepted a request.
   void RecordAcceptance(const std::string& endpoint) {
     endpoints_.erase(endpoint);
   }
@@ -47,7 +50,7 @@
     return found != endpoints_.end() && now < found->second.until;
   }
 
-  // Forgets endpoints that have long refused nothing.
+  // Removes endpoints whose penalty ended more than kIdleExpiry ago.
   void Expire(TimePoint now) {
     for (auto entry = endpoints_.begin(); entry != endpoints_.end();) {
       bool expired = now - entry->second.until > kIdleExpiry;
--- a/leverwick/remote_cost.h
+++ b/leverwick/remote_cost.h
@@ -1,11 +1,12 @@
-// What it weighs to send a request to another data centre, in waiting.
+// RemoteCost computes the cost of sending a request to another data centre,
+// expressed as waiting time.
 //
-// Bytes between data centres are paid for, and an endpoint there may be cut
-// off. A near endpoint is taken as long as its wait exceeds the far one's by
-// less than this.
+// Traffic between data centres is billed, and an endpoint in another data
+// centre may become unreachable. A local endpoint is selected as long as its
+// wait exceeds that of the remote one by less than this cost.
 //
-//   FarCost cost(settings.far_megabyte);
-//   Seconds weighed = wait + cost.ForBytes(body.size());
+//   RemoteCost cost(settings.far_megabyte);
+//   Seconds total = wait + cost.ForBytes(body.size());
 
 #ifndef LEVERWICK_REMOTE_COST_H_
 #define LEVERWICK_REMOTE_COST_H_
@@ -16,13 +17,13 @@
 
 namespace leverwick {
 
-// A way there and back: data centres are some milliseconds apart.
+// Round-trip time between two data centres.
 constexpr Seconds kRemoteRoundTrip{0.005};
 
 class RemoteCost {
  public:
-  // With 30 s a megabyte days of six boxes gain 0.014 of their worth against
-  // none, and of seven boxes 0.005 and 0.003 (30 played days each, paired).
+  // `per_megabyte` is the waiting time that is accepted to avoid sending one
+  // megabyte to another data centre.
   explicit RemoteCost(nanoseconds per_megabyte)
       : per_byte_(Seconds(per_megabyte) / kBytesPerMegabyte) {}
 
@@ -31,7 +32,7 @@
   }
 
  private:
-  static constexpr double kBytesPerMegabyte = 1e6;  // bytes
+  static constexpr double kBytesPerMegabyte = 1e6;
 
   const Seconds per_byte_;
 };
--- a/leverwick/staggered_start.h
+++ b/leverwick/staggered_start.h
@@ -1,14 +1,16 @@
-// When a box does what one box of the fleet has to do, if no other has by then.
+// StaggeredStart delays a task that one box of the fleet has to do, so that the
+// other boxes can skip it once they observe that it is done.
 //
-// What is due on all boxes at the same moment is a call to the store for each
-// of them, also where another has done it already. So boxes take turns, in an
-// order that the task's name decides and all boxes find alike. The first few
-// get a turn each, so that a box that is gone, frozen or cut off delays the
-// task by one. Should all of these fail, the rest follow at random moments of
-// as long a time again.
+// A task that becomes due on all boxes at the same moment would cost one store
+// call per box, although one is enough. Boxes therefore start in the order of
+// their rendezvous rank for the task, which all boxes compute alike. The first
+// kRankedBoxes boxes have a slot each, so that a box that is down, frozen or
+// partitioned delays the task by one slot only. If all of them fail, the
+// remaining boxes start at random moments within a second window of the same
+// length.
 //
-//   StaggeredStart turns{"box-1", others};
-//   nanoseconds pause = turns.PauseBefore("status/chat/v2", window, draw);
+//   StaggeredStart start{"box-1", others};
+//   nanoseconds delay = start.DelayBefore("status/chat/v2", window, draw);
 
 #ifndef LEVERWICK_STAGGERED_START_H_
 #define LEVERWICK_STAGGERED_START_H_
@@ -26,14 +28,15 @@
   StaggeredStart(std::string box, std::vector<std::string> others)
       : box_(std::move(box)), others_(std::move(others)) {}
 
-  // All boxes but this one.
+  // Sets the other boxes of the fleet, without this one.
   void SetBoxes(std::vector<std::string> others) {
     others_ = std::move(others);
   }
   size_t boxes() const { return others_.size() + 1; }
 
-  // `window`: the time for the first boxes' turns together. `draw`: uniform
-  // from 0 to 1, drawn anew for each task.
+  // Returns how long this box waits before it starts the task. `window` is the
+  // time for the slots of the ranked boxes together. `draw` is uniform in [0,
+  // 1] and drawn anew for each task.
   nanoseconds DelayBefore(const std::string& task, nanoseconds window,
                           double draw) const {
     size_t rank = RendezvousRank(task, box_, others_);
@@ -42,8 +45,8 @@
   }
 
  private:
-  // Boxes with a turn of their own. Faults of the played days leave one of four
-  // in place, but for those that strike half of a fleet at once.
+  // Boxes with a slot of their own. With four slots, at least one of these
+  // boxes is usually up, except in faults that hit half of the fleet at once.
   static constexpr size_t kRankedBoxes = 4;
 
   const std::string box_;
--- a/leverwick/testing/endpoint_incarnation_test.cc
+++ b/leverwick/testing/endpoint_incarnation_test.cc
@@ -5,13 +5,13 @@
 namespace leverwick {
 namespace {
 
-TEST_CASE("lives of one endpoint have names of their own and its id") {
-  WallTime born(std::chrono::milliseconds(1700000000123));
-  std::string first = IncarnationName("i-1", born);
+TEST_CASE("incarnations of an endpoint have distinct names with the same id") {
+  WallTime started_at(std::chrono::milliseconds(1700000000123));
+  std::string first = IncarnationName("i-1", started_at);
   std::string second =
-      IncarnationName("i-1", born + std::chrono::milliseconds(1));
+      IncarnationName("i-1", started_at + std::chrono::milliseconds(1));
   CHECK(first != second);
-  CHECK(first == IncarnationName("i-1", born));
+  CHECK(first == IncarnationName("i-1", started_at));
   CHECK(EndpointIdFromIncarnation(first) == "i-1");
   CHECK(EndpointIdFromIncarnation(second) == "i-1");
   CHECK(IncarnationName("i-1", std::nullopt) == "i-1");
--- a/leverwick/testing/endpoint_pool_test.cc
+++ b/leverwick/testing/endpoint_pool_test.cc
@@ -29,7 +29,7 @@
   return TimePoint() + FromSeconds(1e6 + seconds);
 }
 
-TEST_CASE("the same prefix goes to the same endpoint while it has room") {
+TEST_CASE("the same prefix goes to the same endpoint until that is busy") {
   EndpointPool pool;
   pool.SetListed(MakeList(8), At(0));
   std::string first = pool.Pick(kTarget, 42, {}, At(0)).address;
@@ -40,7 +40,7 @@
   CHECK(pool.Pick(kTarget, 42, {}, At(0)).address != first);
 }
 
-TEST_CASE("a pick is never much busier than the least loaded") {
+TEST_CASE("a picked endpoint is never much busier than the least loaded") {
   std::mt19937 random(7);
   EndpointPool pool;
   pool.SetListed(MakeList(10), At(0));
@@ -56,7 +56,7 @@
   }
 }
 
-TEST_CASE("an endpoint that says it leaves gets nothing, whatever is listed") {
+TEST_CASE("a leaving endpoint gets no requests, even if it is still listed") {
   EndpointPool pool;
   pool.SetListed(MakeList(2), At(0));
   LoadReport report;
@@ -66,7 +66,7 @@
   for (uint64_t prefix = 0; prefix < 50; ++prefix) {
     CHECK(pool.Pick(kTarget, prefix, {}, At(1)).address == "127.0.0.1:101");
   }
-  // After a minute the list is believed again.
+  // After a minute the list takes precedence again.
   pool.SetListed(MakeList(2), At(62));
   std::set<std::string> used;
   for (uint64_t prefix = 0; prefix < 50; ++prefix) {
@@ -75,7 +75,7 @@
   CHECK(used.size() == 2);
 }
 
-TEST_CASE("failing endpoints are ejected, but never most of them") {
+TEST_CASE("failing endpoints are ejected, but never a majority of them") {
   EndpointPool pool;
   pool.SetListed(MakeList(4), At(0));
   auto fail = [&pool](const std::string& address) {
@@ -87,7 +87,7 @@
   }
   for (int i = 101; i < 104; ++i) fail("127.0.0.1:" + std::to_string(i));
   CHECK(!pool.Pick(kTarget, 1, {}, At(0.1)).address.empty());
-  // It returns after its time.
+  // The ejection expires.
   std::set<std::string> used;
   for (uint64_t prefix = 0; prefix < 50; ++prefix) {
     used.insert(pool.Pick(kTarget, prefix, {}, At(5)).address);
@@ -95,7 +95,7 @@
   CHECK(used.count("127.0.0.1:100") == 1);
 }
 
-TEST_CASE("old reports lose their weight") {
+TEST_CASE("the weight of load reports decays with age") {
   EndpointPool pool;
   pool.SetListed(MakeList(1), At(0));
   LoadReport report;
@@ -105,7 +105,7 @@
   CHECK(pool.Pick(kTarget, 1, {}, At(2)).load == doctest::Approx(1));
 }
 
-TEST_CASE("a vanished endpoint is kept while requests run on it") {
+TEST_CASE("an unlisted endpoint is kept until its requests complete") {
   EndpointPool pool;
   pool.SetListed(MakeList(1), At(0));
   pool.RecordStart("127.0.0.1:100");
@@ -117,7 +117,7 @@
   CHECK(pool.addresses().empty());
 }
 
-TEST_CASE("a request never sees the list half taken over") {
+TEST_CASE("a request never observes a partly updated list") {
   EndpointPool pool;
   pool.SetListed(MakeList(1), At(0));
   std::atomic<bool> stop{false};
@@ -133,8 +133,8 @@
   CHECK(missing == 0);
 }
 
-// The slow reference: all endpoints in the order of their preference, of which
-// the first one that is cheapest is taken.
+// Reference implementation: sorts the endpoints by rendezvous weight and
+// returns the first one with the lowest cost.
 std::string CheapestInOrder(std::vector<ListedEndpoint> endpoints,
                             uint64_t affinity,
                             const std::map<std::string, double>& costs) {
@@ -152,7 +152,7 @@
   return chosen;
 }
 
-TEST_CASE("the cheapest endpoint is that of an ordered search") {
+TEST_CASE("the cheapest endpoint equals that of the reference") {
   std::mt19937 random(7);
   for (int round = 0; round < 300; ++round) {
     std::vector<ListedEndpoint> endpoints;
@@ -162,7 +162,7 @@
       endpoint.address = "e" + std::to_string(i);
       endpoint.target = "service";
       endpoints.push_back(endpoint);
-      costs[endpoint.address] = random() % 3;  // so that many are equal
+      costs[endpoint.address] = random() % 3;  // so that many costs are equal
     }
     EndpointPool pool;
     pool.SetListed(endpoints, TimePoint());
--- a/leverwick/testing/endpoint_selector_test.cc
+++ b/leverwick/testing/endpoint_selector_test.cc
@@ -47,7 +47,7 @@
   return criteria;
 }
 
-TEST_CASE("the selector is never dearer than any other endpoint") {
+TEST_CASE("the selected endpoint never costs more than any other") {
   std::mt19937 random(5);
   for (int round = 0; round < 200; ++round) {
     Site site;
@@ -57,7 +57,7 @@
       endpoints.push_back(Listed("e" + std::to_string(i), data_centre));
     }
     site.pool.SetListed(endpoints, kStart);
-    // Some prompts are being read, and their parts are kept.
+    // Some prompts are in prefill, and their parts are cached.
     std::vector<Prompt> prompts;
     for (int i = 0; i < 4; ++i) {
       prompts.push_back({{"s" + std::to_string(i), 3000}, {"own", 300}});
@@ -73,7 +73,7 @@
     std::string chosen = site.selector.Select(criteria, kStart);
     for (const ListedEndpoint& endpoint : endpoints) {
       if (endpoint.address != chosen) continue;
-      // At best the chosen one was the preferred one.
+      // The selected endpoint may be the preferred one, which costs least.
       Seconds cost =
           site.selector.ComputeCost(endpoint, criteria, true, kStart);
       for (const ListedEndpoint& other : endpoints) {
@@ -85,7 +85,7 @@
   }
 }
 
-TEST_CASE("many bytes stay near, unless the near endpoint is busy") {
+TEST_CASE("large requests stay local, unless the local endpoint is busy") {
   Site site;
   site.pool.SetListed({Listed("near", "dc1"), Listed("far", "dc2")}, kStart);
   const Prompt prompt = {{"shared", 50}, {"own", 10}};
@@ -99,22 +99,22 @@
   CHECK(site.selector.Select(MakeCriteria(&prompt, 17000), kStart) == "far");
 }
 
-TEST_CASE("an endpoint beyond reach gets a request now and then") {
+TEST_CASE("an unreachable endpoint gets periodic probe requests") {
   Site site;
   site.pool.SetListed({Listed("a", "dc1"), Listed("b", "dc2")}, kStart);
   EndpointCriteria criteria = MakeCriteria(nullptr, 0);
-  // One lost packet is no cut.
+  // One timeout may be a lost packet.
   site.reach.RecordTimeout("a", kStart);
   CHECK(site.selector.Select(criteria, kStart) == "a");
   site.reach.RecordTimeout("a", kStart);
   CHECK(site.selector.Select(criteria, kStart) == "b");
-  // A request that has tried both does not go round them again.
+  // A request that has attempted both does not attempt them again.
   site.reach.RecordTimeout("b", kStart);
   site.reach.RecordTimeout("b", kStart);
   criteria.attempted = {"a", "b"};
   criteria.last_attempted = "b";
   CHECK(site.selector.Select(criteria, kStart).empty());
-  // Nor does any other wait for what is known.
+  // Other requests fail at once as well.
   criteria.attempted.clear();
   CHECK(site.selector.Select(criteria, kStart).empty());
   TimePoint later = kStart + Reachability::kProbeInterval;
@@ -128,7 +128,7 @@
   CHECK(site.reach.size() == 0);
 }
 
-TEST_CASE("a drained data centre gets nothing, whatever else is busy") {
+TEST_CASE("a drained data centre gets no requests, even if others are busy") {
   Site site;
   site.pool.SetListed({Listed("a", "dc1"), Listed("b", "dc2")}, kStart);
   const Prompt busy = {{"other", 60000}, {"own", 10}};
@@ -137,7 +137,8 @@
   CHECK(site.selector.Select(criteria, kStart) == "a");
   site.drained.Drain("dc1");
   CHECK(site.selector.Select(criteria, kStart) == "b");
-  // Neither the second round of tries nor the other version gets around it.
+  // Neither a second attempt at an endpoint nor the other version bypasses the
+  // drain.
   criteria.attempted = {"a", "b"};
   criteria.last_attempted = "b";
   CHECK(site.selector.Select(criteria, kStart).empty());
@@ -149,9 +150,9 @@
   CHECK(site.selector.Select(criteria, kStart) == "b");
 }
 
-TEST_CASE("requests with home regions go to endpoints there only") {
+TEST_CASE("requests with home regions go only to endpoints in them") {
   Site site;
-  ListedEndpoint unknown = Listed("c", "dc3");  // in no region that is known
+  ListedEndpoint unknown = Listed("c", "dc3");  // in no configured region
   site.pool.SetListed({Listed("a", "dc1"), Listed("b", "dc2"), unknown},
                       kStart);
   const std::vector<std::string> north = {"north"};
@@ -170,7 +171,7 @@
   for (const HomesCase& home_case : cases) {
     EndpointCriteria criteria = MakeCriteria(nullptr, 0);
     criteria.homes = {home_case.route, home_case.organisation};
-    // One after the other, as if each had failed.
+    // Selects the endpoints one after another, as if each attempt had failed.
     std::string id = site.selector.Select(criteria, kStart);
     while (!id.empty() && criteria.attempted.insert(id).second) {
       criteria.last_attempted = id;
@@ -180,7 +181,7 @@
   }
 }
 
-TEST_CASE("a caller that no cold endpoint can take learns when one can") {
+TEST_CASE("when slow start rejects a request, its retry-after ends the wait") {
   Site site;
   site.slow_start.SetBoxes({});
   site.slow_start.SetLimits({{"service", {2, std::chrono::seconds(3)}}});
@@ -191,16 +192,16 @@
     CHECK(site.selector.Select(criteria, kStart) == "a");
     site.slow_start.Sent("a", kStart);
   }
-  TimePoint soon = kStart + milliseconds(300);
-  CHECK(site.selector.Select(criteria, soon).empty());
-  CHECK(site.selector.RetryAfter(criteria, soon) == milliseconds(700));
-  CHECK(site.selector.Select(criteria, soon + milliseconds(700)) == "a");
-  // Another that is warm takes what the cold one must not.
+  TimePoint later = kStart + milliseconds(300);
+  CHECK(site.selector.Select(criteria, later).empty());
+  CHECK(site.selector.RetryAfter(criteria, later) == milliseconds(700));
+  CHECK(site.selector.Select(criteria, later + milliseconds(700)) == "a");
+  // A warm endpoint gets what the cold one must not.
   site.pool.SetListed({Listed("a", "dc1"), Listed("b", "dc2")}, kStart);
-  CHECK(site.selector.Select(criteria, soon) == "b");
+  CHECK(site.selector.Select(criteria, later) == "b");
 }
 
-TEST_CASE("what was tried is tried again only if there is no other") {
+TEST_CASE("attempted endpoints are selected again only if there is no other") {
   Site site;
   site.pool.SetListed({Listed("a", "dc1"), Listed("b", "dc1")}, kStart);
   EndpointCriteria criteria = MakeCriteria(nullptr, 0);
@@ -214,12 +215,11 @@
   CHECK(site.selector.Select(criteria, kStart).empty());
 }
 
-// A version was rolled back for its failures. While its endpoints were still
-// listed another one was ordered, and the first got half of all requests again:
-// only the newest target was known to be new, so that it counted as the version
-// before. In a played day it got them for 2.3 s, and a session changed its
-// version.
-TEST_CASE("a version that was rolled back gets nothing during the next") {
+// Guards against sending requests to a version that was rolled back. Its
+// endpoints were still listed when another version was ordered; only the newest
+// target counted as new, so the rolled-back version counted as the baseline,
+// got half of the requests, and a session changed its version.
+TEST_CASE("a rolled-back version gets no requests during the next roll-out") {
   Site site;
   std::vector<ListedEndpoint> endpoints;
   for (const char* version : {"v1", "v2", "v3"}) {
@@ -238,19 +238,19 @@
   for (criteria.affinity = 0; criteria.affinity < 20; ++criteria.affinity) {
     CHECK(site.selector.Select(criteria, kStart) == "v1");
   }
-  // Not even if there is nothing else for it but the target.
+  // Not even if the target is the only alternative.
   site.pool.SetListed({endpoints[1], endpoints[2]}, kStart);
   CHECK(site.selector.Select(criteria, kStart) == "v3");
-  // An operator who orders it anew means it.
+  // An operator may order the rolled-back version again explicitly.
   order("v2");
   criteria.side = ServiceRollouts::Side::kTarget;
   CHECK(site.selector.Select(criteria, kStart) == "v2");
 }
 
-// Seen in the soak (seed 18, beside load): a roll-out of v2 was rolled back,
-// the return to v1 was found bad as well, and one box refused all requests of
-// the service until the end of the run, with "no endpoint".
-TEST_CASE("a service whose versions were all found bad still gets endpoints") {
+// Guards against a service without eligible endpoints. A roll-out of v2 was
+// rolled back and the return to v1 was found unhealthy as well; one box then
+// refused all requests of the service with "no endpoint".
+TEST_CASE("a service whose versions are all unhealthy still has endpoints") {
   Site site;
   std::vector<ListedEndpoint> endpoints;
   for (const char* version : {"v1", "v2"}) {
@@ -265,22 +265,23 @@
   }
   EndpointCriteria criteria = MakeCriteria(nullptr, 0);
   criteria.side = ServiceRollouts::Side::kBaseline;
-  // Not the newest target, which is being taken away.
+  // Not the newest target, which is being rolled back.
   CHECK(site.selector.Select(criteria, kStart) == "v2");
-  // As soon as a sound version is listed it has all.
+  // A healthy version gets all requests as soon as it is listed.
   endpoints.push_back(Listed("v0", "dc1"));
   endpoints.back().version = "v0";
   site.pool.SetListed(endpoints, kStart);
   for (criteria.affinity = 0; criteria.affinity < 20; ++criteria.affinity) {
     CHECK(site.selector.Select(criteria, kStart) == "v0");
   }
-  // Also while it can't be used.
+  // Even while it is unreachable.
   site.reach.RecordTimeout("v0", kStart);
   site.reach.RecordTimeout("v0", kStart);
   CHECK(site.selector.Select(criteria, kStart).empty());
 }
 
-// A site whose box deals out all limits itself; "a" would be chosen first.
+// A site whose box grants the permits of all limits itself; "a" is the cheapest
+// endpoint.
 struct LimitedSite : Site {
   LimitedSite() {
     permits.SetBoxes({});
@@ -290,14 +291,14 @@
   }
 };
 
-TEST_CASE("an endpoint that names a limit is taken with a permit only") {
+TEST_CASE("an endpoint that reports a limit is selected only with a permit") {
   LimitedSite site;
   EndpointCriteria criteria = MakeCriteria(nullptr, 17000);
   CHECK(site.selector.Select(criteria, kStart) == "b");
-  // It would be the best one: a permit is asked for.
+  // It is the cheapest one, so a permit should be requested for it.
   CHECK(site.selector.SelectForPermitRequest(criteria, kStart) == "a");
   site.permits.Ask("a", "dc1", kStart);
-  // There is no room for half a second, so there is nothing to ask.
+  // No permit is available for half a second, so none should be requested.
   CHECK(site.selector.SelectForPermitRequest(criteria, kStart).empty());
   TimePoint later = kStart + milliseconds(500);
   CHECK(site.selector.SelectForPermitRequest(criteria, later) == "a");
@@ -308,7 +309,7 @@
   CHECK(site.selector.Select(criteria, later) == "b");
 }
 
-TEST_CASE("no permit is asked for where another endpoint is better") {
+TEST_CASE("no permit is requested where another endpoint is cheaper") {
   LimitedSite site;
   const Prompt busy = {{"other", 60000}, {"own", 10}};
   site.loads.RecordSend("a", {"route/model", "model", &busy}, kStart);
@@ -316,7 +317,7 @@
             .empty());
 }
 
-TEST_CASE("when limits keep a request from all, the time is that of a permit") {
+TEST_CASE("when limits block all endpoints, retry-after is that of a permit") {
   LimitedSite site;
   site.limits.Named("b", 0.5, kStart);
   EndpointCriteria criteria = MakeCriteria(nullptr, 0);
@@ -326,13 +327,13 @@
   site.permits.Ask("a", "dc1", kStart);
   site.permits.Ask("b", "dc2", kStart);
   CHECK(site.selector.RetryAfter(criteria, kStart) == milliseconds(500));
-  // One that is drained as well is no matter of limits.
+  // Drained endpoints are not blocked by limits.
   site.drained.Drain("dc1");
   site.drained.Drain("dc2");
   CHECK(site.selector.ReasonForNone(criteria, kStart) == Result::kNoEndpoint);
 }
 
-TEST_CASE("a limit of the version before gives its requests to no new one") {
+TEST_CASE("a limit of the baseline does not move its requests to the target") {
   LimitedSite site;
   std::vector<ListedEndpoint> endpoints = {Listed("a", "dc1"),
                                            Listed("new", "dc1")};
@@ -344,14 +345,15 @@
   CHECK(site.selector.Select(criteria, kStart).empty());
   CHECK(site.selector.ReasonForNone(criteria, kStart) ==
         Result::kEndpointsLimited);
-  // What the new version has no room for, the one before serves.
+  // Requests that exceed the limit of the target go to the baseline.
   site.limits.NotNamed("a", kStart + std::chrono::seconds(1));
   site.limits.Named("new", 2, kStart);
   criteria.side = ServiceRollouts::Side::kTarget;
   CHECK(site.selector.Select(criteria, kStart) == "a");
 }
 
-TEST_CASE("an endpoint that asked for a back-off is left alone until its end") {
+TEST_CASE(
+    "an endpoint that requested a back-off gets no requests until its end") {
   Site site;
   site.pool.SetListed({Listed("a", "dc1"), Listed("b", "dc2")}, kStart);
   site.backoffs.Asked("a", milliseconds(3000), kStart);
@@ -359,7 +361,7 @@
   TimePoint during = kStart + milliseconds(2999);
   CHECK(site.selector.Select(criteria, kStart) == "b");
   CHECK(site.selector.Select(criteria, during) == "b");
-  // Not even for the sake of a second try.
+  // Not even for a second attempt.
   criteria.attempted = {"a", "b"};
   criteria.last_attempted = "b";
   CHECK(site.selector.Select(criteria, during).empty());
@@ -368,7 +370,7 @@
   CHECK(site.selector.Select(criteria, after) == "a");
 }
 
-TEST_CASE("an endpoint that refuses is taken only if there is no other") {
+TEST_CASE("an endpoint that refuses is selected only if there is no other") {
   Site site;
   site.pool.SetListed({Listed("a", "dc1"), Listed("b", "dc2")}, kStart);
   site.refusals.RecordRefusal("a", kStart);
@@ -380,7 +382,7 @@
   CHECK(site.selector.Select(criteria, kStart) == "a");
 }
 
-TEST_CASE("when all endpoints ask for back-offs the time is the first end") {
+TEST_CASE("when all endpoints back off, retry-after is the earliest end") {
   Site site;
   site.pool.SetListed({Listed("a", "dc1"), Listed("b", "dc2")}, kStart);
   site.backoffs.Asked("a", milliseconds(5000), kStart);
@@ -393,13 +395,14 @@
   milliseconds retry_after = site.selector.RetryAfter(criteria, later);
   CHECK(retry_after == milliseconds(1500));
   CHECK(site.selector.Select(criteria, later + retry_after) == "b");
-  // Limits and back-offs together leave none.
+  // A limit and a back-off together block all endpoints.
   site.limits.Named("b", 0.5, kStart);
   CHECK(site.selector.ReasonForNone(criteria, later) ==
         Result::kEndpointsBackOff);
 }
 
-TEST_CASE("a back-off of the version before gives its requests to no new one") {
+TEST_CASE(
+    "a back-off of the baseline does not move its requests to the target") {
   Site site;
   std::vector<ListedEndpoint> endpoints = {Listed("a", "dc1"),
                                            Listed("new", "dc1")};
--- a/leverwick/testing/engine_loads_test.cc
+++ b/leverwick/testing/engine_loads_test.cc
@@ -17,22 +17,22 @@
   return loads.ExpectedWait(endpoint, kWork, preferred, now).count();
 }
 
-TEST_CASE("a prompt is expected sooner where its parts were read") {
+TEST_CASE("a response is expected sooner where the prompt parts are cached") {
   EngineLoads loads;
   loads.RecordResponseStart(loads.RecordSend("a", kWork, kStart),
                             kStart + milliseconds(20));
   CHECK(Wait(loads, "a", kStart) < Wait(loads, "b", kStart));
-  // Another model's memory holds none of it.
+  // The cache of another model does not contain the parts.
   EngineWork other = kWork;
   other.model = "other";
   CHECK(loads.ExpectedWait("a", other, false, kStart).count() >
         Wait(loads, "a", kStart));
-  // Kept parts are not kept for ever.
+  // Cached parts expire.
   TimePoint later = kStart + std::chrono::seconds(30);
   CHECK(Wait(loads, "a", later) == doctest::Approx(Wait(loads, "b", later)));
 }
 
-TEST_CASE("an endpoint that starts again has read nothing and delays nothing") {
+TEST_CASE("an endpoint that restarts has no cached parts and no delay") {
   EngineLoads loads;
   loads.RecordResponseStart(loads.RecordSend("a", kWork, kStart),
                             kStart + std::chrono::seconds(5));
@@ -42,23 +42,23 @@
   CHECK(Wait(loads, "a", later) == doctest::Approx(Wait(loads, "b", later)));
 }
 
-TEST_CASE("where nothing tells, the endpoint that all boxes prefer is taken") {
+TEST_CASE("without cache state the wait is shorter at the preferred endpoint") {
   EngineLoads loads;
   CHECK(Wait(loads, "a", kStart, true) < Wait(loads, "b", kStart, false));
 }
 
-TEST_CASE("requests that wait at an endpoint make it later") {
+TEST_CASE("requests that wait at an endpoint increase the expected wait") {
   EngineLoads loads;
   uint64_t ticket = loads.RecordSend("a", kWork, kStart);
-  double at_once = Wait(loads, "a", kStart);
+  double initially = Wait(loads, "a", kStart);
   TimePoint later = kStart + std::chrono::seconds(2);
   double waiting = Wait(loads, "a", later);
-  CHECK(waiting > at_once + 1);
+  CHECK(waiting > initially + 1);
   loads.RecordFinish(ticket);
   CHECK(Wait(loads, "a", later) < waiting - 1);
 }
 
-TEST_CASE("a prompt that is mostly kept is expected to be read sooner") {
+TEST_CASE("a mostly cached prompt has a shorter expected prefill") {
   EngineLoads loads;
   uint64_t unread = loads.RecordSend("a", kWork, kStart);
   uint64_t kept = loads.RecordSend("a", kWork, kStart);
@@ -67,10 +67,10 @@
   CHECK(loads.ExpectedPrefill(kept).count() == 0);
 }
 
-TEST_CASE("what waits counts in the seconds of its own model") {
+TEST_CASE("pending prefill is counted at the rate of its own model") {
   EngineLoads loads;
   EngineWork slow = {"route/slow", "slow", &kPrompt};
-  // Ten times slower than what is known of a new kind.
+  // Ten times slower than the initial estimate of a new kind.
   for (int i = 0; i < 300; ++i) {
     const Prompt fresh = {{"s" + std::to_string(i), 6000}, {"own", 500}};
     slow.prompt = &fresh;
@@ -86,7 +86,7 @@
   CHECK(loads.ExpectedPrefill(ticket).count() > 2);
 }
 
-TEST_CASE("the weight of another data centre grows with what is sent there") {
+TEST_CASE("the cost of another data centre grows with the bytes sent there") {
   RemoteCost cost(std::chrono::seconds(30));
   CHECK(cost.ForBytes(0) == kRemoteRoundTrip);
   CHECK((cost.ForBytes(1000000) - kRemoteRoundTrip).count() ==
@@ -96,7 +96,7 @@
   CHECK(RemoteCost(nanoseconds(0)).ForBytes(1000000) == kRemoteRoundTrip);
 }
 
-TEST_CASE("a failed endpoint is avoided, also after what is old is forgotten") {
+TEST_CASE("a failed endpoint is avoided, also after old state has expired") {
   EngineLoads loads;
   loads.RecordFailure(loads.RecordSend("a", kWork, kStart), "dc1", kStart);
   loads.Expire(kStart + milliseconds(250));
@@ -107,7 +107,7 @@
   CHECK(Wait(loads, "a", later) == doctest::Approx(Wait(loads, "b", later)));
 }
 
-TEST_CASE("a data centre of which three endpoints failed is cut off") {
+TEST_CASE("a data centre with three failed endpoints counts as partitioned") {
   EngineLoads loads;
   auto fail = [&](const std::string& endpoint) {
     loads.RecordFailure(loads.RecordSend(endpoint, kWork, kStart), "dc2",
--- a/leverwick/testing/recent_refusals_test.cc
+++ b/leverwick/testing/recent_refusals_test.cc
@@ -7,14 +7,14 @@
 
 const TimePoint kStart = TimePoint() + std::chrono::hours(1);
 
-TEST_CASE("an endpoint that goes on refusing is a last resort for longer") {
+TEST_CASE("the penalty of consecutive refusals doubles up to its maximum") {
   RecentRefusals refusals;
   CHECK_FALSE(refusals.IsLastResort("a", kStart));
   TimePoint now = kStart;
   milliseconds penalty = RecentRefusals::kInitialPenalty;
   for (int refusal = 0; refusal < 10; ++refusal) {
     refusals.RecordRefusal("a", now);
-    // What was under way with it changes nothing.
+    // Refusals of requests that were in flight together count as one.
     refusals.RecordRefusal("a", now + milliseconds(1));
     CHECK(refusals.IsLastResort("a", now + penalty - milliseconds(1)));
     now += penalty;
@@ -25,7 +25,7 @@
   CHECK_FALSE(refusals.IsLastResort("b", kStart));
 }
 
-TEST_CASE("an endpoint that has taken a request is as good as any") {
+TEST_CASE("an accepted request clears the penalty") {
   RecentRefusals refusals;
   for (int refusal = 0; refusal < 5; ++refusal) {
     refusals.RecordRefusal("a", kStart + refusal * std::chrono::seconds(2));
--- a/leverwick/testing/staggered_start_test.cc
+++ b/leverwick/testing/staggered_start_test.cc
@@ -9,93 +9,94 @@
 namespace leverwick {
 namespace {
 
-constexpr milliseconds kMost{240};
-// From a box's record until most others have read it (played days).
-constexpr milliseconds kNewsTakes{62};
+constexpr milliseconds kWindow{240};
+// Time from the record of a box until most other boxes have read it.
+constexpr milliseconds kPropagationDelay{62};
 
 struct Fleet {
-  std::vector<StaggeredStart> turns;
+  std::vector<StaggeredStart> boxes;
 
-  explicit Fleet(size_t boxes) {
-    for (size_t box = 0; box < boxes; ++box) {
+  explicit Fleet(size_t size) {
+    for (size_t box = 0; box < size; ++box) {
       std::vector<std::string> others;
-      for (size_t other = 0; other < boxes; ++other) {
+      for (size_t other = 0; other < size; ++other) {
         if (other != box) others.push_back("box-" + std::to_string(other));
       }
-      turns.emplace_back("box-" + std::to_string(box), others);
+      boxes.emplace_back("box-" + std::to_string(box), others);
     }
   }
 };
 
-struct Played {
+struct Outcome {
   size_t attempts = 0;
-  nanoseconds done{0};  // when the first box that is there has its turn
+  nanoseconds done{0};  // when the first box that is up starts
 };
 
-// Each box attempts when its turn comes, unless it has heard of another's.
-Played Play(const std::vector<nanoseconds>& turns) {
-  Played played;
-  played.done = *std::min_element(turns.begin(), turns.end());
-  for (nanoseconds turn : turns) {
-    if (turn <= played.done + kNewsTakes) ++played.attempts;
+// Each box attempts the task at its start time, unless it has received the
+// record of another box by then.
+Outcome Simulate(const std::vector<nanoseconds>& starts) {
+  Outcome outcome;
+  outcome.done = *std::min_element(starts.begin(), starts.end());
+  for (nanoseconds start : starts) {
+    if (start <= outcome.done + kPropagationDelay) ++outcome.attempts;
   }
-  return played;
+  return outcome;
 }
 
-TEST_CASE("turns spare attempts, and a random order does not") {
+TEST_CASE("staggered starts save attempts, random starts do not") {
   std::mt19937 random(3);
   std::uniform_real_distribution<> draw(0, 1);
-  for (size_t boxes : {7, 65, 200}) {
-    Fleet fleet(boxes);
+  for (size_t size : {7, 65, 200}) {
+    Fleet fleet(size);
     size_t attempts = 0;
     size_t random_attempts = 0;
-    for (int duty = 0; duty < 40; ++duty) {
-      std::vector<nanoseconds> turns;
-      std::vector<nanoseconds> random_turns;
-      for (const StaggeredStart& box : fleet.turns) {
-        turns.push_back(
-            box.DelayBefore(std::to_string(duty), kMost, draw(random)));
-        random_turns.push_back(FromSeconds(ToSeconds(kMost) * draw(random)));
+    for (int task = 0; task < 40; ++task) {
+      std::vector<nanoseconds> starts;
+      std::vector<nanoseconds> random_starts;
+      for (const StaggeredStart& box : fleet.boxes) {
+        starts.push_back(
+            box.DelayBefore(std::to_string(task), kWindow, draw(random)));
+        random_starts.push_back(FromSeconds(ToSeconds(kWindow) * draw(random)));
       }
-      attempts += Play(turns).attempts;
-      random_attempts += Play(random_turns).attempts;
+      attempts += Simulate(starts).attempts;
+      random_attempts += Simulate(random_starts).attempts;
     }
     CHECK(attempts <= 2 * 40);
     CHECK(random_attempts > attempts);
-    if (boxes >= 65) CHECK(random_attempts > 5 * attempts);
+    if (size >= 65) CHECK(random_attempts > 5 * attempts);
   }
 }
 
-TEST_CASE("a duty is done in time whichever boxes are gone") {
+TEST_CASE("a task is done in time whichever boxes are down") {
   std::mt19937 random(4);
   std::uniform_real_distribution<> draw(0, 1);
   Fleet fleet(65);
-  for (double gone : {0.35, 0.6, 0.9}) {
-    for (int duty = 0; duty < 40; ++duty) {
-      std::vector<nanoseconds> turns;
-      for (const StaggeredStart& box : fleet.turns) {
-        if (draw(random) < gone) continue;
-        turns.push_back(
-            box.DelayBefore(std::to_string(duty), kMost, draw(random)));
+  for (double down_share : {0.35, 0.6, 0.9}) {
+    for (int task = 0; task < 40; ++task) {
+      std::vector<nanoseconds> starts;
+      for (const StaggeredStart& box : fleet.boxes) {
+        if (draw(random) < down_share) continue;
+        starts.push_back(
+            box.DelayBefore(std::to_string(task), kWindow, draw(random)));
       }
-      if (!turns.empty()) CHECK(Play(turns).done <= 2 * kMost);
+      if (!starts.empty()) CHECK(Simulate(starts).done <= 2 * kWindow);
     }
   }
 }
 
-TEST_CASE("each duty has an order of its own, the same on all boxes") {
+TEST_CASE("each task has its own order, which is the same on all boxes") {
   Fleet fleet(20);
   std::set<size_t> first_boxes;
-  for (int duty = 0; duty < 20; ++duty) {
-    size_t at_once = 0;
-    for (size_t box = 0; box < fleet.turns.size(); ++box) {
-      auto pause =
-          fleet.turns[box].DelayBefore(std::to_string(duty), kMost, 0.5);
-      if (pause != nanoseconds(0)) continue;
-      ++at_once;
+  for (int task = 0; task < 20; ++task) {
+    size_t immediate = 0;
+    for (size_t box = 0; box < fleet.boxes.size(); ++box) {
+      auto delay =
+          fleet.boxes[box].DelayBefore(std::to_string(task), kWindow, 0.5);
+      if (delay != nanoseconds(0)) continue;
+      ++immediate;
       first_boxes.insert(box);
     }
-    CHECK(at_once == 1);
+    CHECK(immediate == 1);
   }
   CHECK(first_boxes.size() > 5);
 }
--- a/leverwick/version_estimates.cc
+++ b/leverwick/version_estimates.cc
@@ -1,6 +1,6 @@
-// The sums of other lives are added up once, when they arrive, so that a
-// decision reads two maps only. A life's replaced sums are subtracted by
-// adding up all others anew, which is rare and short.
+// The sums of other incarnations are added up once, on arrival, so that a
+// decision reads two maps only. Replaced sums are not subtracted: the total is
+// recomputed from all sums, which is rare and cheap.
 
 #include "leverwick/version_estimates.h"
 
@@ -17,10 +17,12 @@
 constexpr double kPriorWeakShare = 0.3;
 constexpr double kPriorCompletionTokens = 200;  // tokens
 constexpr double kMinLatency = 1e-4;            // seconds
-// Other lives kept; the ones with the fewest answers go first.
+// Limit on the incarnations of peers. Beyond it, the one whose id sorts first
+// is removed.
 constexpr size_t kMaxPeerIncarnations = 64;
 constexpr Seconds kMinSumsInterval(5.0);
-constexpr double kSumsBytesPerSecond = 1000;  // of one box, to all receivers
+constexpr double kSumsBytesPerSecond =
+    1000;  // sent by one box, to all receivers
 
 void AddTo(const VersionSum& from, VersionSum* to) {
   to->set_answers(to->answers() + from.answers());
--- a/leverwick/version_estimates.h
+++ b/leverwick/version_estimates.h
@@ -1,15 +1,18 @@
-// What is known of each version: quality, length, latency and errors.
+// VersionEstimates tracks the quality, response length, latency and error rate
+// of each version.
 //
-// Every box life keeps sums of its own observations by version and request
-// class. Sums of different lives add up, so boxes exchange them whole and a
-// life's newest sums replace its older ones; nothing is counted twice. Ratings
-// come late, sampled, or not at all, so a version's quality starts from the
-// table's prior and moves with the ratings that came.
+// Every box incarnation keeps sums of its own observations by version and
+// request class. Boxes exchange these sums; the newest sums of an incarnation
+// replace its older ones, and the sums of different incarnations are added, so
+// that nothing is counted twice. Ratings are late, sampled or absent, so the
+// quality of a version starts from the prior in the table and moves with the
+// ratings that are received.
 //
-//   VersionEstimates estimates("box-a1-7f", max_lives);
+//   VersionEstimates estimates("box-a1-7f");
 //   estimates.RecordResponse(version_key, request_class, observation);
 //   estimates.RecordRating(version_key, request_class, confident, 0.8);
-//   Outlook outlook = estimates.OutlookOf(version, request_class);
+//   ResponseEstimate estimate =
+//       estimates.EstimateResponse(version, request_class);
 
 #ifndef LEVERWICK_VERSION_ESTIMATES_H_
 #define LEVERWICK_VERSION_ESTIMATES_H_
@@ -29,12 +32,12 @@
 
 struct Observation {
   bool error = false;
-  bool weak = false;  // low confidence, of a unary answer
+  bool weak = false;  // a unary response with low confidence
   Seconds latency{0};
   int64_t completion_tokens = 0;
 };
 
-// Sums over all lives, in a form that is cheap to read.
+// Statistics over the sums of all incarnations.
 struct VersionStats {
   double answers = 0;
   double errors = 0;
@@ -49,17 +52,18 @@
   double completion_tokens_mean = 0;
 };
 
-// What to expect of one answer.
+// Expected properties of one response.
 struct ResponseEstimate {
-  double quality = 0;            // rating, 0 for answers that fail
-  double confident_quality = 0;  // rating of answers that are not weak
-  double weak_share = 0;         // of unary answers
+  double quality = 0;            // rating; failed responses count as 0
+  double confident_quality = 0;  // rating of responses that are not weak
+  double weak_share = 0;         // of unary responses
   double completion_tokens = 0;
-  double ratings = 0;  // that this rests on
+  double ratings = 0;  // number of ratings behind the quality
 };
 
-// The time until sums of `bytes` may be sent again to so many receivers: often
-// while they are small, and never more than a fixed rate of bytes.
+// Returns the time until sums of `bytes` may be sent again to `receivers`
+// boxes: short while the sums are small, and long enough to bound the rate of
+// bytes.
 Seconds SumsBroadcastInterval(size_t bytes, size_t receivers);
 
 // Thread-safe.
@@ -73,21 +77,24 @@
   void RecordRating(const std::string& version_key, uint32_t request_class,
                     bool confident, double rating);
 
-  // Halves this life's sums, so that old observations fade.
+  // Halves the own sums, so that old observations lose weight.
   void Decay();
 
-  // Takes another life's sums; older ones of the same life are replaced.
+  // Merges the sums of another incarnation; they replace older sums of the same
+  // incarnation.
   void MergePeerSums(const LifeSums& sums);
 
-  // This life's sums, and those of others, for exchange and for the store.
+  // Return the sums of this incarnation, and those of all incarnations, for the
+  // exchange with peers and for the store.
   LifeSums own() const;
   std::vector<LifeSums> all() const;
 
   VersionStats StatsFor(const std::string& version_key,
                         uint32_t request_class) const;
 
-  // What to expect of a version's next answer; priors count as some
-  // observations, so that the first ones don't swing it.
+  // Returns the expected properties of the next response of a version. Priors
+  // count as a number of observations, so that the first real ones do not
+  // dominate.
   ResponseEstimate EstimateResponse(const Version& version,
                                     uint32_t request_class) const;
 
