--- a/leverwick/endpoint_pool.cc
+++ b/leverwick/endpoint_pool.cc
@@ -295,13 +295,13 @@
   WithEndpoint(address, [](Endpoint* endpoint) { ++endpoint->own_in_flight; });
 }
 
-void EndpointPool::RecordCompletion(const std::string& address, bool good,
+void EndpointPool::RecordCompletion(const std::string& address, bool succeeded,
                                     TimePoint now) {
   bool is_unused = false;
-  WithEndpoint(address, [good, now, &is_unused](Endpoint* endpoint) {
+  WithEndpoint(address, [succeeded, now, &is_unused](Endpoint* endpoint) {
     if (endpoint->own_in_flight > 0) --endpoint->own_in_flight;
     is_unused = !endpoint->is_listed && endpoint->own_in_flight == 0;
-    if (good) {
+    if (succeeded) {
       endpoint->consecutive_failures = 0;
       endpoint->ejected_until = TimePoint{};
       return;
--- a/leverwick/endpoint_pool.h
+++ b/leverwick/endpoint_pool.h
@@ -92,9 +92,10 @@
                          TimePoint now) const;
 
   void RecordStart(const std::string& address);
-  // Records the end of a request. `good` is true if the endpoint responded;
-  // repeated failures eject the endpoint.
-  void RecordCompletion(const std::string& address, bool good, TimePoint now);
+  // Records the end of a request. `succeeded` is true if the endpoint
+  // responded; repeated failures eject the endpoint.
+  void RecordCompletion(const std::string& address, bool succeeded,
+                        TimePoint now);
 
   // Marks an endpoint that reported that it is leaving, or that refused
   // connections.
--- a/leverwick/endpoint_selector.cc
+++ b/leverwick/endpoint_selector.cc
@@ -14,10 +14,9 @@
 
 namespace {
 
-// The retry-after time while all eligible endpoints are in drained data
-// centres. Drains last for seconds to hours and their end is not known in
-// advance; one retry per second costs little and notices the end within a
-// second.
+// The retry-after time while no listed endpoint is eligible, as during a drain.
+// Drains last for seconds to hours and their end is not known in advance; one
+// retry per second costs little and notices the end within a second.
 constexpr milliseconds kDrainedRetryAfter{1000};
 // Exceeds any wait that another endpoint could cause.
 constexpr Seconds kLastResortPenalty{1000};
@@ -49,9 +48,9 @@
     TimePoint now) const {
   std::string chosen = SelectOnSide(criteria.side, criteria, excluded, now);
   if (!chosen.empty()) return chosen;
-  // Requests that exceed the limits of the baseline version must not go to the
-  // target version: that would raise its share of the requests above the
-  // roll-out step.
+  // Requests that limits or back-offs keep from the baseline version must not
+  // go to the target version: that would raise its share of the requests above
+  // the roll-out step.
   if (criteria.side == Side::kBaseline) {
     EndpointCriteria open = criteria;
     open.gates = SendGates::Scope::kIgnoreRequested;
@@ -92,12 +91,12 @@
 
 bool EndpointSelector::IsEligible(const ListedEndpoint& endpoint,
                                   const EndpointCriteria& criteria) const {
-  bool bad = facts_.rollouts->IsBad(criteria.service, endpoint.version);
-  bool last_resort =
+  bool unhealthy = facts_.rollouts->IsBad(criteria.service, endpoint.version);
+  bool is_fallback =
       criteria.allow_unhealthy_versions &&
       endpoint.version != facts_.rollouts->TargetOf(criteria.service);
   return !facts_.drained->IsDrained(endpoint.data_centre) &&
-         (!bad || last_resort) &&
+         (!unhealthy || is_fallback) &&
          criteria.homes.Allows(regions_.RegionFor(endpoint.data_centre));
 }
 
--- a/leverwick/engine_loads.cc
+++ b/leverwick/engine_loads.cc
@@ -88,9 +88,9 @@
 
 const EngineLoads::LatencyModel& EngineLoads::LatencyModelFor(
     const std::string& kind) const {
-  static const LatencyModel unknown;
+  static const LatencyModel kInitialModel;
   auto found = latency_models_.find(kind);
-  return found == latency_models_.end() ? unknown : found->second;
+  return found == latency_models_.end() ? kInitialModel : found->second;
 }
 
 Seconds EngineLoads::ExpectedWait(const std::string& endpoint,
@@ -121,13 +121,13 @@
                                    TimePoint now) const {
   auto found = endpoints_.find(endpoint);
   if (found == endpoints_.end()) return Seconds(0);
-  const Endpoint& known = found->second;
+  const Endpoint& state = found->second;
   double waited = 0;
-  if (!known.awaiting_response.empty()) {
-    const Pending& oldest = pending_.at(known.awaiting_response.begin()->first);
+  if (!state.awaiting_response.empty()) {
+    const Pending& oldest = pending_.at(state.awaiting_response.begin()->first);
     waited = ToSeconds(now - oldest.sent) - oldest.expected_wait;
   }
-  double delay = std::max(DecayedDelay(known, now), waited);
+  double delay = std::max(DecayedDelay(state, now), waited);
   return Seconds(std::max(0.0, delay - kDelayTolerance));
 }
 
--- a/leverwick/engine_loads.h
+++ b/leverwick/engine_loads.h
@@ -96,8 +96,8 @@
   // the endpoint from now on.
   void RecordPeerSend(const SentPrompt& prompt, TimePoint now);
   // Records that the prefill of a peer's prompt is done or was abandoned.
-  void RecordPeerPrefill(uint32_t life, uint64_t ticket) {
-    peer_prompts_.Read(life, ticket);
+  void RecordPeerPrefill(uint32_t incarnation, uint64_t ticket) {
+    peer_prompts_.Read(incarnation, ticket);
   }
 
   // Removes cached parts that have expired, and idle endpoints.
--- a/leverwick/home_regions.h
+++ b/leverwick/home_regions.h
@@ -29,9 +29,9 @@
   // Returns the region of the data centre, or an empty string if it is not
   // configured. No list of home regions contains the empty string.
   const std::string& RegionFor(const std::string& data_centre) const {
-    static const std::string unknown;
+    static const std::string kNoRegion;
     auto found = by_data_centre_.find(data_centre);
-    return found == by_data_centre_.end() ? unknown : found->second;
+    return found == by_data_centre_.end() ? kNoRegion : found->second;
   }
 
  private:
--- a/leverwick/testing/endpoint_selector_test.cc
+++ b/leverwick/testing/endpoint_selector_test.cc
@@ -181,7 +181,8 @@
   }
 }
 
-TEST_CASE("when slow start rejects a request, its retry-after ends the wait") {
+TEST_CASE(
+    "when slow start blocks all endpoints, retry-after is when one opens") {
   Site site;
   site.slow_start.SetBoxes({});
   site.slow_start.SetLimits({{"service", {2, std::chrono::seconds(3)}}});
--- a/leverwick/testing/engine_loads_test.cc
+++ b/leverwick/testing/engine_loads_test.cc
@@ -60,11 +60,11 @@
 
 TEST_CASE("a mostly cached prompt has a shorter expected prefill") {
   EngineLoads loads;
-  uint64_t unread = loads.RecordSend("a", kWork, kStart);
-  uint64_t kept = loads.RecordSend("a", kWork, kStart);
-  CHECK(loads.ExpectedPrefill(kept) < loads.ExpectedPrefill(unread));
-  loads.RecordFinish(kept);
-  CHECK(loads.ExpectedPrefill(kept).count() == 0);
+  uint64_t uncached = loads.RecordSend("a", kWork, kStart);
+  uint64_t cached = loads.RecordSend("a", kWork, kStart);
+  CHECK(loads.ExpectedPrefill(cached) < loads.ExpectedPrefill(uncached));
+  loads.RecordFinish(cached);
+  CHECK(loads.ExpectedPrefill(cached).count() == 0);
 }
 
 TEST_CASE("pending prefill is counted at the rate of its own model") {
@@ -100,8 +100,8 @@
   EngineLoads loads;
   loads.RecordFailure(loads.RecordSend("a", kWork, kStart), "dc1", kStart);
   loads.Expire(kStart + milliseconds(250));
-  TimePoint soon = kStart + milliseconds(250);
-  CHECK(Wait(loads, "a", soon) > Wait(loads, "b", soon) + 1);
+  TimePoint early = kStart + milliseconds(250);
+  CHECK(Wait(loads, "a", early) > Wait(loads, "b", early) + 1);
   TimePoint later = kStart + std::chrono::seconds(20);
   loads.Expire(later);
   CHECK(Wait(loads, "a", later) == doctest::Approx(Wait(loads, "b", later)));
