--- a/leverwick/fair_queue.h
+++ b/leverwick/fair_queue.h
@@ -1,22 +1,26 @@
-// Who gets the next free place of a busy pool.
+// FairQueue decides which waiting request of a busy pool starts next.
 //
-// Weighted fair queueing in cost (tokens), not in requests: an organisation's
-// long filings can't slow another's short lookups. A place is one request in
-// progress. How full the pool may get for a request depends on how much its
-// organisation holds already: within its weight's part somewhat over all
-// places, which slows the engines a little, and the less the further it is
-// beyond it, down to all places but a reserve. So one that floods the pool
-// can't make the others wait for its long requests to end. When the queue is
-// full, the waiter
-// of the lowest priority is shed, at once; among equals the one that would be
-// served last, which is the flooder's.
+// It is a weighted fair queue whose cost is counted in tokens, not requests, so
+// that long requests of one organisation don't delay short requests of another.
+// The capacity is the number of requests that the pool runs at once. The limit
+// that applies to a request depends on how many requests its organisation
+// already runs. Up to the organisation's fair share by weight it is somewhat
+// more than the capacity (overcommit), which slows the engines slightly. Above
+// the fair share it decreases linearly, down to the capacity minus a reserve.
+// An organisation that floods the pool therefore can't make others wait for its
+// long requests.
 //
-//   FairQueue queue(places, max_waiting, options);
-//   FairQueue::Ticket ticket = queue.Enter("acme", 1.0, 5, 800, &shed);
-//   if (ticket.state == FairQueue::kWaiting) ...  // a later Leave starts it
+// When the queue is full, the waiter of the lowest priority is shed at once.
+// Among waiters of equal priority this is the one that would be served last,
+// which normally belongs to the organisation with the largest backlog.
 //
-// The queue has no threads: Leave returns the ids that may start now and
-// Enter the ids that were shed; the caller wakes their threads.
+//   FairQueue queue(capacity, max_waiting, options);
+//   FairQueue::Ticket ticket = queue.Submit("acme", 1.0, 5, 800, &shed);
+//   if (ticket.state == FairQueue::kWaiting) ...  // started by a later Finish
+//
+// The queue has no threads: Finish returns the ids of the requests that may
+// start and Submit the ids that were shed; the caller wakes the threads that
+// wait.
 
 #ifndef LEVERWICK_FAIR_QUEUE_H_
 #define LEVERWICK_FAIR_QUEUE_H_
@@ -32,9 +36,11 @@
 namespace leverwick {
 
 struct FairQueueOptions {
-  // Share of the places that an organisation far beyond its part leaves free.
+  // Fraction of the capacity that an organisation far above its fair share
+  // leaves free.
   double reserve = 0;
-  // Places on top of all, as a share, for organisations within their part.
+  // Additional fraction of the capacity for organisations within their fair
+  // share.
   double overcommit = 0;
 };
 
@@ -52,18 +58,18 @@
             const FairQueueOptions& options = {})
       : capacity_(capacity), max_waiting_(max_waiting), options_(options) {}
 
-  // Enters a request of `cost` tokens. A waiter shed in its favour is added
-  // to `shed`.
+  // Submits a request with a cost of `cost` tokens. If a waiter is shed to make
+  // room, its id is added to `shed`.
   Ticket Submit(const std::string& organisation, double weight, int priority,
                 double cost, std::vector<uint64_t>* shed);
 
-  // A running request ended; returns the ids that run from now on.
+  // Removes a running request. Returns the ids of the requests that start now.
   std::vector<uint64_t> Finish(uint64_t id);
 
-  // A waiter gave up. False when it runs already.
+  // Removes a waiter. Returns false if the request already runs.
   bool Cancel(uint64_t id);
 
-  // Changes the number of places; returns the ids that run from now on.
+  // Changes the capacity. Returns the ids of the requests that start now.
   std::vector<uint64_t> SetCapacity(size_t capacity);
 
   size_t running() const { return running_.size(); }
@@ -76,8 +82,9 @@
  private:
   struct Waiter {
     std::string organisation;
-    double virtual_finish = 0;  // virtual time at which it would end
-    double cost = 0;
+    // Virtual time at which the request would complete.
+    double virtual_finish = 0;
+    double cost = 0;  // in tokens over weight
     int priority = 0;
   };
 
@@ -94,10 +101,10 @@
   double virtual_time_ = 0;
   std::map<std::string, double> last_virtual_finish_;  // by organisation
   std::map<uint64_t, Waiter> waiters_;
-  std::set<std::pair<double, uint64_t>> by_virtual_finish_;  // by finish
-  std::map<uint64_t, std::string> running_;                  // to organisation
-  std::map<std::string, size_t> running_by_organisation_;    // by organisation
-  std::map<std::string, double> weights_;                    // of all ever seen
+  std::set<std::pair<double, uint64_t>> by_virtual_finish_;  // waiter ids
+  std::map<uint64_t, std::string> running_;  // id to organisation
+  std::map<std::string, size_t> running_by_organisation_;
+  std::map<std::string, double> weights_;  // of all organisations seen so far
 };
 
 }  // namespace leverwick
--- a/leverwick/key_validity.h
+++ b/leverwick/key_validity.h
@@ -1,14 +1,14 @@
-// Whether a key that a box knows still admits requests while the box can't
-// prove that its configuration is current.
+// KeyValidityPolicy decides whether a known API key admits requests while the
+// box can't prove that its configuration is current.
 //
-// Which of the two is right is the operators' choice, a setting: a withdrawn
-// key must stop everywhere within a bound, or callers are served through an
-// outage of the store. A key or route that the box does not know is nobody's
-// choice: without a proof it may be newer than the configuration, so the caller
-// is told to come back.
+// Operators choose between two guarantees by a setting: either a withdrawn key
+// stops working everywhere within a bounded time, or callers are served through
+// an outage of the store. A key or route that the box does not know may be
+// newer than its configuration. Without a proof such a request is refused as
+// kStaleTable, which tells the caller to retry later.
 //
-//   const KeyTrust& trust = KeyTrustOf(strict);
-//   Result result = AdmitKey(trust, found, proof.HoldsAt(now));
+//   const KeyValidityPolicy& policy = KeyValidityPolicyFor(is_strict);
+//   Result result = AdmitKey(policy, is_known, proof.IsValidAt(now));
 
 #ifndef LEVERWICK_KEY_VALIDITY_H_
 #define LEVERWICK_KEY_VALIDITY_H_
@@ -20,11 +20,12 @@
 class KeyValidityPolicy {
  public:
   virtual ~KeyValidityPolicy() = default;
-  // Whether a known key is good; `proven`: the configuration is current.
+  // Returns whether a known key is accepted. `is_config_current` is true if a
+  // recent read proves that the configuration is current.
   virtual bool Accepts(bool is_config_current) const = 0;
 };
 
-// A withdrawn key stops within the age that a proof may have.
+// A withdrawn key stops working within the maximum age of a freshness proof.
 class RequireCurrentConfig : public KeyValidityPolicy {
  public:
   bool Accepts(bool is_config_current) const override {
@@ -32,15 +33,14 @@
   }
 };
 
-// Known keys serve on. Gains 0.056 of the worth of days with outages of the
-// store of up to nine seconds: refused requests fall from 4.3 to 0.5 in 100
-// (mean of 30 played days, six boxes).
+// Known keys keep working through an outage of the store. This avoids most
+// refusals in short outages, but a withdrawn key also keeps working.
 class AcceptKnownKeys : public KeyValidityPolicy {
  public:
   bool Accepts(bool) const override { return true; }
 };
 
-// The policy for the setting `table.strict_withdrawal`.
+// Returns the policy for the setting `table.strict_withdrawal`.
 inline const KeyValidityPolicy& KeyValidityPolicyFor(bool is_strict) {
   static const RequireCurrentConfig require_current;
   static const AcceptKnownKeys accept_known;
@@ -48,7 +48,8 @@
   return accept_known;
 }
 
-// kOk, kBadKey or kStaleTable. `found`: the configuration has the key.
+// Returns kOk, kBadKey or kStaleTable. `is_known` is true if the configuration
+// contains the key.
 inline Result AdmitKey(const KeyValidityPolicy& policy, bool is_known,
                        bool is_config_current) {
   if (is_known && policy.Accepts(is_config_current)) return Result::kOk;
--- a/leverwick/keyed_log.h
+++ b/leverwick/keyed_log.h
@@ -1,9 +1,9 @@
-// A log of keyed records, as a box reads it: what a store keeps, and what boxes
-// pass on to each other.
+// KeyedLog is the interface to a log of keyed records, which boxes read either
+// from the store or from each other.
 //
-// Offsets number the records of a topic from zero. A page says up to where it
-// brings its reader and since when that is known to have been the end, which is
-// what a proof of freshness is made of.
+// Offsets number the records of a topic from zero. Each page states the offset
+// up to which it brings the reader, and a time at which the log had not grown
+// beyond its end. Freshness proofs are built from these two values.
 //
 //   log->Read({"boxes", 840, 1500ms}, [](std::error_code, LogPage) {...});
 
@@ -21,26 +21,27 @@
 
 namespace leverwick {
 
-// Without a value the key is dropped.
+// A record without a value is a tombstone: it deletes the key.
 struct KeyedRecord {
   std::string key;
   std::optional<std::string> value;
 };
 
 struct LogPage {
-  std::vector<KeyedRecord> records;  // from the offset asked for on, in order
-  uint64_t next = 0;                 // behind the last record: read on here
+  std::vector<KeyedRecord> records;  // in log order, from the requested offset
+  uint64_t next = 0;                 // offset at which the next read continues
   uint64_t end = 0;                  // offset of the next record to be written
-  // The log had not grown beyond `end` at this moment, by this box's clock.
+  // Time by this box's clock at which the log had not grown beyond `end`.
   TimePoint as_of{};
-  // The source answered when there was news: no pause before the next read.
+  // The source replied as soon as it had new records, so the reader need not
+  // pause before the next read.
   bool is_long_polled = false;
 };
 
 // The newest record of each key.
 struct NewestPage {
   std::vector<KeyedRecord> records;
-  bool has_more = false;  // ask again, after the last record's key
+  bool has_more = false;  // request the next page, after the last record's key
   uint64_t end = 0;
   TimePoint as_of{};
 };
@@ -48,18 +49,19 @@
 struct LogQuery {
   std::string topic;
   uint64_t from = 0;
-  // How long the store may hold the read until there is a record.
+  // Maximum time for which the store may hold the read until a record arrives.
   milliseconds max_wait{0};
-  // Nobody may hold it: what counts is to know soon.
+  // Requests an immediate reply: neither the store nor another box may hold the
+  // read.
   bool no_long_poll = false;
-  // An answer that another box passes on is taken if it is no older.
+  // Maximum age of a reply that another box passes on.
   milliseconds max_age{0};
 };
 
 // Errors: kNoConnection (the call never left this box), kUnreachable (no
-// answer), kRefused, kExpired (the records asked for
-// are gone), kStaleRevision (the log did not end where the append wanted it),
-// kBadResponse (can't be decoded). Callbacks come from the event loop.
+// reply), kRefused, kExpired (the requested records no longer exist),
+// kStaleRevision (the log did not end at the offset that the append required),
+// kBadResponse (the reply can't be decoded). Callbacks run on the event loop.
 class KeyedLog {
  public:
   using ReadCallback = std::function<void(std::error_code, LogPage)>;
@@ -68,11 +70,14 @@
 
   virtual ~KeyedLog() = default;
 
+  // Reads the records of a topic from an offset on.
   virtual void Read(const LogQuery& query, ReadCallback callback) = 0;
+  // Reads the newest record of each key. The first page has an empty
+  // `after_key`, each further one the last key of the page before.
   virtual void ReadNewest(const LogQuery& query, const std::string& after_key,
                           NewestCallback callback) = 0;
-  // With `at`, appends only if the topic's log ends there. An append whose
-  // answer is lost may still take effect, up to seconds later.
+  // Appends a record. With `at`, appends only if the topic's log ends at that
+  // offset. An append whose reply is lost may still take effect seconds later.
   virtual void Append(const std::string& topic, const KeyedRecord& record,
                       std::optional<uint64_t> at, AppendCallback callback) = 0;
 };
--- a/leverwick/peer_prompts.h
+++ b/leverwick/peer_prompts.h
@@ -1,13 +1,14 @@
-// Prompts that other boxes have sent to endpoints and that are not read yet.
+// PeerPrompts tracks prompts that other boxes have sent to endpoints and whose
+// prefill has not completed.
 //
-// Boxes tell each other of each prompt that they send and when it has been
-// read. A note that gets lost does no harm for long: a prompt that nobody says
-// was read is forgotten.
+// Boxes report to each other each prompt that they send and the completion of
+// its prefill. Reports may be lost, so a prompt without a completion report
+// expires.
 //
 //   PeerPrompts prompts;
-//   prompts.Sent(prompt, now);
-//   Seconds reading = prompts.ReadingAt(endpoint);
-//   prompts.Read(life, ticket);
+//   prompts.RecordSend(prompt, now);
+//   Seconds prefill = prompts.PendingPrefillAt(endpoint);
+//   prompts.RecordPrefillDone(incarnation, ticket);
 //   prompts.Expire(now);
 
 #ifndef LEVERWICK_PEER_PROMPTS_H_
@@ -27,28 +28,31 @@
 // A prompt that a box has sent to an endpoint.
 struct SentPrompt {
   uint32_t incarnation = 0;  // of the box, drawn at its start
-  uint64_t ticket = 0;       // unique in that life
+  uint64_t ticket = 0;       // unique within the incarnation
   std::string endpoint;
-  Seconds prefill_time{0};          // expected time of reading it
-  std::vector<uint64_t> part_keys;  // keys of its shared parts
+  Seconds prefill_time{0};          // expected
+  std::vector<uint64_t> part_keys;  // of the shared parts
 };
 
 // Not thread-safe.
 class PeerPrompts {
  public:
+  // Records a prompt that another box has sent. Duplicate reports are ignored.
   void RecordSend(const SentPrompt& prompt, TimePoint now);
+  // Records that the prefill of a prompt has completed.
   void RecordPrefillDone(uint32_t incarnation, uint64_t ticket);
 
-  // The sum of what the endpoint still has to read of them.
+  // Returns the sum of the expected prefill times of the prompts that are
+  // pending at the endpoint.
   Seconds PendingPrefillAt(const std::string& endpoint) const;
 
-  // Forgets prompts whose end was not told.
+  // Drops prompts whose completion was not reported in time.
   void Expire(TimePoint now);
 
   size_t size() const { return prompts_.size(); }
 
  private:
-  using Key = std::pair<uint32_t, uint64_t>;  // life and ticket
+  using Key = std::pair<uint32_t, uint64_t>;  // incarnation and ticket
   struct PendingPrompt {
     std::string endpoint;
     Seconds prefill_time{0};
--- a/leverwick/prompt.h
+++ b/leverwick/prompt.h
@@ -1,4 +1,5 @@
-// A prompt as its shared parts, which endpoints keep and need not read again.
+// A prompt as a sequence of shareable parts. Endpoints cache the prefix that
+// they have processed and need not process it again.
 
 #ifndef LEVERWICK_PROMPT_H_
 #define LEVERWICK_PROMPT_H_
@@ -9,13 +10,13 @@
 
 namespace leverwick {
 
-// A part of a prompt, in order; equal ids hold equal text.
+// One part of a prompt. Parts with equal ids have equal text.
 struct PromptPart {
   std::string id;
   int64_t tokens = 0;
 };
 
-// The last part is the request's own.
+// Parts in order; the last one is specific to the request.
 using Prompt = std::vector<PromptPart>;
 
 }  // namespace leverwick
--- a/leverwick/rate_limiter.h
+++ b/leverwick/rate_limiter.h
@@ -1,19 +1,21 @@
-// Limits of organisations that hold across boxes.
+// RateLimiter enforces the rate limits of organisations across boxes.
 //
-// Every limit is split twice. Between data centres by the table's weights, so
-// that one that is cut off keeps its part and nothing need be agreed across
-// the cut. Within a data centre into shares of its boxes, whose sum is at most
-// 1: each roster epoch starts with equal shares, and a box in need takes from
-// a peer with slack. The peer gives before the other has, so a lost answer
-// loses some share until the next epoch and never makes any.
+// Every limit is split twice. It is split between data centres by the table's
+// weights, so that a data centre that is cut off keeps its share and no
+// agreement across the partition is needed. Within a data centre it is split
+// into shares of the boxes, whose sum is at most 1. Each roster epoch starts
+// with equal shares. A box that needs more requests share from a peer with
+// slack. The peer reduces its own share before it replies, so a lost reply
+// loses share until the next epoch but never creates any.
 //
-// An epoch change could hand out new shares while a box still uses old ones.
-// Until every member of the new roster is known to have moved on, a box uses
-// the smaller of its old and new share.
+// On an epoch change some boxes could use new shares while others still use old
+// ones. Until every member of the new roster is known to have moved to the new
+// epoch (the epoch is settled), a box uses the smaller of its old and new
+// shares.
 //
-//   Limiter limiter;
-//   limiter.SetRoster(epoch, members, data_centre_part);
-//   Limiter::Decision decision = limiter.Admit(organisation, tokens, now);
+//   RateLimiter limiter;
+//   limiter.SetRoster(epoch, members, data_centre_share, is_first_roster);
+//   RateLimiter::Decision decision = limiter.Admit(organisation, tokens, now);
 
 #ifndef LEVERWICK_RATE_LIMITER_H_
 #define LEVERWICK_RATE_LIMITER_H_
@@ -33,55 +35,60 @@
  public:
   struct Decision {
     bool admitted = false;
-    nanoseconds retry_after{0};  // when refused
+    nanoseconds retry_after{0};  // if refused
   };
 
-  // Starts a roster epoch with `members` boxes. `part` is the data centre's
-  // fraction of every limit. `first`: the data centre's first roster, so that
-  // nobody holds older shares.
+  // Starts a roster epoch with `members` boxes. `data_centre_share` is the data
+  // centre's fraction of every limit. `is_first_roster` is true for the data
+  // centre's first roster, when no box can hold older shares.
   void SetRoster(uint64_t epoch, size_t members, double data_centre_share,
                  bool is_first_roster);
 
-  // Every member is known to have moved on to the epoch.
+  // Records that every member has moved to the epoch.
   void MarkEpochSettled(uint64_t epoch);
 
-  // Takes one request of `tokens` expected tokens, if the box's share allows.
+  // Admits one request of `tokens` expected tokens if this box's share allows
+  // it.
   Decision Admit(const Organisation& organisation, double tokens,
                  TimePoint now);
 
-  // Corrects the tokens taken by Admit once they are known.
+  // Corrects the tokens charged by Admit once the actual number is known.
   void ReconcileTokens(const std::string& organisation, double expected,
                        double actual);
 
-  // Gives up to `wanted` of this box's share of an organisation to a peer in
-  // the same epoch; returns what was given. Keeps what recent demand needs.
+  // Gives up to `wanted` of this box's share of an organisation's limit to a
+  // peer in the same epoch. Returns the share that was given. Keeps the share
+  // that recent demand requires.
   double ReleaseShare(const std::string& organisation, uint64_t epoch,
                       double wanted);
 
-  // Adds share that a peer gave in this epoch.
+  // Adds share received from a peer in this epoch.
   void AddShare(const std::string& organisation, uint64_t epoch, double given);
 
-  // Share this box would like to have beyond its own, 0 when it has slack.
+  // Returns the share that this box needs in addition to its own, or 0 if it
+  // has slack.
   double ComputeMissingShare(const std::string& organisation) const;
 
-  // This box's share of the data centre's part, 0 to 1.
+  // Returns this box's share of the data centre's limit, between 0 and 1.
   double ShareFor(const std::string& organisation) const;
 
   uint64_t epoch() const;
 
  private:
   struct TokenBucket {
-    double balance = 0;       // units that may be spent now
-    TimePoint last_refill{};  // when level was brought up to date
+    double balance = 0;  // requests or tokens that may be spent now
+    TimePoint last_refill{};
     bool initialized = false;
   };
   struct OrganisationState {
     uint64_t epoch = 0;
     double share = 0;
-    double min_unsettled_share = 0;  // least share since the last settled epoch
-    double demand = 0;               // recent demand as a fraction of the part
+    // Minimum share since the last settled epoch.
+    double min_unsettled_share = 0;
+    // Recent demand as a fraction of the data centre's limit.
+    double demand = 0;
     TimePoint window_start{};
-    double window_demand = 0;  // units asked since `measured`
+    double window_demand = 0;  // demand since `window_start`
     TokenBucket requests;
     TokenBucket tokens;
   };
@@ -95,8 +102,8 @@
     size_t members = 1;
     double data_centre_share = 1;
     bool is_settled = true;
-    double min_unsettled_share =
-        0;  // equal shares, least since the last settled epoch
+    // Smallest equal share since the last settled epoch.
+    double min_unsettled_share = 0;
   };
 
   Shard& ShardFor(const std::string& organisation) const;
--- a/leverwick/read_sources.h
+++ b/leverwick/read_sources.h
@@ -1,16 +1,17 @@
-// From whom a box reads what the store says: the store itself, or another box
-// of its data centre that has read it.
+// ReadSources selects where a box reads a topic: from the store, or from
+// another box of its data centre that has read it.
 //
-// The boxes of a data centre have one order, by capacity and then name. The
-// first few that answer read the store; each other box reads from one of them.
-// Nobody appoints a reader: a box that finds none before it that answers is
-// one. Boxes may disagree for a moment, which costs calls and nothing else,
-// since every answer says how old it is.
+// The boxes of a data centre are ordered by capacity and then by name. The
+// first few reachable boxes read the store, and each other box reads from one
+// of them. No box is elected: a box that finds too few reachable boxes before
+// it in the order reads the store itself. Boxes may disagree for a short time.
+// This costs additional calls but no correctness, since every reply states its
+// age.
 //
-//   ReadSources sources(self, readers);
+//   ReadSources sources(self, max_readers);
 //   sources.SetBoxes(boxes);
-//   auto box = sources.Choose(now);        // none: the store
-//   sources.Unreachable(box->name, now);   // or Stale, or Answered
+//   auto box = sources.ChooseSource(now);       // nullopt: the store
+//   sources.RecordUnreachable(box->name, now);  // or RecordStale, RecordReply
 
 #ifndef LEVERWICK_READ_SOURCES_H_
 #define LEVERWICK_READ_SOURCES_H_
@@ -24,40 +25,44 @@
 
 namespace leverwick {
 
+// A box from which other boxes can read logs.
 struct LogBox {
   std::string name;
-  std::string address;  // ip:port at which other boxes read
+  std::string address;  // ip:port of the server for log reads
   double capacity = 1;
 };
 
 class ReadSources {
  public:
-  // `readers`: how many boxes of the data centre read the store.
-  ReadSources(LogBox self, int readers)
-      : self_(std::move(self)), max_readers_(readers) {}
+  // `max_readers` is the number of boxes of the data centre that read the
+  // store.
+  ReadSources(LogBox self, int max_readers)
+      : self_(std::move(self)), max_readers_(max_readers) {}
 
-  // The boxes of this data centre, in any order; this one need not be among
-  // them.
+  // Sets the boxes of this data centre, in any order, with or without this one.
   void SetBoxes(std::vector<LogBox> boxes);
 
-  // None: the store.
+  // Returns the box to read from, or nullopt for the store.
   std::optional<LogBox> ChooseSource(TimePoint now) const;
 
-  // Whether this box reads the store however many others answer.
+  // Returns whether this box reads the store even if all other boxes are
+  // reachable.
   bool is_reader() const {
     return static_cast<int>(preferred_boxes_.size()) < max_readers_;
   }
 
+  // Records a usable reply from the box.
   void RecordReply(const std::string& name) { failures_.erase(name); }
-  // The box did not answer.
+  // Records that the box did not reply.
   void RecordUnreachable(const std::string& name, TimePoint now);
-  // The box answered with what is too old or not known there.
+  // Records a reply that was too old or lacked the requested records.
   void RecordStale(const std::string& name, TimePoint now);
 
-  // The store does no better: boxes that were stale may be asked again.
+  // Ends the backoff of boxes with stale replies. Called when a read of the
+  // store has shown that it has nothing newer.
   void ClearStale();
 
-  // Boxes that have answered nothing for `span`, however often asked.
+  // Returns the boxes that have not replied for at least `span`.
   std::vector<std::string> BoxesUnreachableFor(nanoseconds span,
                                                TimePoint now) const;
 
@@ -73,7 +78,7 @@
 
   const LogBox self_;
   const int max_readers_;
-  std::vector<LogBox> preferred_boxes_;  // in the order, before this box
+  std::vector<LogBox> preferred_boxes_;  // that precede this box, in order
   std::map<std::string, Failure> failures_;
 };
 
--- a/leverwick/slow_start.h
+++ b/leverwick/slow_start.h
@@ -1,22 +1,23 @@
-// How many requests this box may send to an endpoint that is cold.
+// SlowStart limits the requests that this box sends to a cold endpoint.
 //
-// An endpoint that has just started, or whose data centre was out of use, bears
-// few requests a second until it is warm, and falls over when it gets many
-// more. Cold endpoints are idle, so they look best to every box at the same
-// moment; a box can't see in time what the others send. So each cold endpoint
-// has a few senders among the boxes, chosen by rendezvous hash of its id, and
-// the endpoint's rate is dealt out to these in whole requests. Nothing is
-// agreed on: boxes that know the same boxes choose the same senders.
+// An endpoint that has just started, or whose data centre was drained, can
+// serve only a few requests per second until it is warm, and crashes if it
+// receives many more. Cold endpoints are idle, so every box prefers them at the
+// same moment, and reports of the other boxes' requests arrive too late.
+// Therefore only a few boxes, selected by rendezvous hashing on the endpoint's
+// id, may send to a cold endpoint. Its rate is divided among them in whole
+// requests. This requires no coordination: boxes with the same view of the
+// fleet select the same senders.
 //
-// Only services whose configuration names a rate are limited. An endpoint is
-// cold for as long as it says, and after its data centre was taken back into
-// use for as long as the configuration says.
+// Only services with a cold rate in their configuration are limited. An
+// endpoint is cold for the time that it reports, and after its data centre was
+// restored for the time that the configuration sets.
 //
 //   SlowStart slow_start("box-1");
 //   slow_start.SetBoxes(others);
-//   slow_start.SetLimits(LimitsOf(config));
-//   slow_start.Told(endpoint, cold_for, now);
-//   if (slow_start.MaySend(endpoint, now)) slow_start.Sent(endpoint, now);
+//   slow_start.SetLimits(config.ColdLimits());
+//   slow_start.RecordWarmUp(endpoint, cold_for, now);
+//   if (slow_start.MaySend(listed, now)) slow_start.RecordSend(endpoint, now);
 //   slow_start.Expire(now);
 
 #ifndef LEVERWICK_SLOW_START_H_
@@ -39,39 +40,41 @@
 // Not thread-safe.
 class SlowStart {
  public:
-  // How a cold endpoint's rate is dealt out.
+  // Division of a cold endpoint's rate among the boxes.
   struct Quota {
-    size_t senders = 0;  // boxes that may send to it
-    size_t requests_per_sender =
-        0;  // requests that each of them may send in a second
+    size_t senders = 0;              // boxes that may send to the endpoint
+    size_t requests_per_sender = 0;  // per second
   };
-  // `rate`: requests a second that a cold endpoint bears. `boxes`: at least 1.
-  // `senders` times `each` is never more than the rate, but for a rate below 1.
+  // Divides `rate`, the requests per second that a cold endpoint sustains,
+  // among at most `boxes` boxes (at least 1). `senders` times
+  // `requests_per_sender` is at most the rate, or 1 if the rate is below 1.
   static Quota ComputeQuota(double rate, size_t boxes);
 
   explicit SlowStart(std::string box) : box_(std::move(box)) {}
 
-  // The names of all boxes but this one.
+  // Sets the names of all boxes except this one.
   void SetBoxes(std::vector<std::string> others);
-  // By service; replaces all limits.
+  // Replaces all limits, by service.
   void SetLimits(std::map<std::string, ColdLimit> limits);
 
-  // The endpoint says how long it stays cold from now on; zero: it is warm.
+  // Records an endpoint's report that it stays cold for `cold_for` from `now`;
+  // zero means that it is warm.
   void RecordWarmUp(const std::string& endpoint, nanoseconds cold_for,
                     TimePoint now);
-  // Endpoints of a data centre that was out of use are cold when it is back,
-  // before any of them can say so.
+  // Records that a drained data centre was restored. Its endpoints count as
+  // cold before any of them can report it.
   void RecordDataCentreRestored(const std::string& data_centre, TimePoint now);
 
   bool IsCold(const ListedEndpoint& endpoint, TimePoint now) const;
   bool MaySend(const ListedEndpoint& endpoint, TimePoint now) const;
-  // When MaySend will next be true, at the latest.
+  // Returns an upper bound of the time until MaySend returns true.
   nanoseconds TimeUntilSendAllowed(const ListedEndpoint& endpoint,
                                    TimePoint now) const;
-  // Every send is noted, since the endpoint may turn out to be cold.
+  // Records a send. All sends are recorded, since an endpoint may report later
+  // that it is cold.
   void RecordSend(const std::string& endpoint, TimePoint now);
 
-  // Forgets what no longer limits anything.
+  // Drops state that no longer limits any send.
   void Expire(TimePoint now);
 
  private:
@@ -81,22 +84,22 @@
   };
 
   const ColdLimit* FindLimit(const std::string& service) const;
-  // Zero for an endpoint that is not cold.
+  // Returns the end of the endpoint's warm-up, zero if none is recorded.
   TimePoint ColdUntil(const ListedEndpoint& endpoint,
                       const ColdLimit& limit) const;
-  // What this box may send in a second to a cold endpoint.
+  // Returns the requests per second that this box may send to a cold endpoint.
   size_t OwnQuota(const std::string& endpoint, double rate) const;
-  // Boxes that the endpoint's hash puts before this one.
+  // Returns the number of boxes that rank before this one for the endpoint.
   size_t RankFor(const std::string& endpoint) const;
 
   const std::string box_;
-  // Unset: the fleet has not been read.
+  // Unset until the list of boxes has been read.
   std::optional<std::vector<std::string>> others_;
   std::map<std::string, ColdLimit> limits_;
   std::unordered_map<std::string, EndpointState> endpoints_;
   std::map<std::string, TimePoint> restored_at_;  // by data centre
-  // By endpoint, since a choice asks for each cold endpoint's; forgotten when
-  // the fleet changes.
+  // Rank of this box by endpoint, cached because each choice needs the ranks of
+  // all cold endpoints. Cleared when the fleet changes.
   mutable std::unordered_map<std::string, size_t> ranks_;
 };
 
--- a/leverwick/time.h
+++ b/leverwick/time.h
@@ -1,4 +1,5 @@
-// Time as the decision library sees it: always passed in, never read.
+// Time types and conversions of the decision library. Its functions never read
+// a clock: callers pass the current time in.
 
 #ifndef LEVERWICK_TIME_H_
 #define LEVERWICK_TIME_H_
@@ -14,19 +15,20 @@
 using std::chrono::milliseconds;
 using std::chrono::nanoseconds;
 
-// Wall-clock time. Boxes' clocks differ: it is only ever compared within
-// windows of minutes.
+// Wall-clock time. The clocks of boxes differ, so times from different boxes
+// are only compared with a tolerance of minutes.
 using WallTime = std::chrono::system_clock::time_point;
 
-// Time since 1970, as records and other sides' messages hold it.
+// Returns the time since the Unix epoch, the form in which records and messages
+// hold wall-clock times.
 inline milliseconds SinceEpoch(WallTime time) {
   return std::chrono::duration_cast<milliseconds>(time.time_since_epoch());
 }
 
-// Seconds with a fraction, for arithmetic.
+// Seconds as a floating-point number, for arithmetic.
 using Seconds = std::chrono::duration<double>;
 
-// The std::chrono form of a settings' or a row's duration.
+// Converts a protobuf duration, as used in settings and table rows.
 inline nanoseconds FromProto(const google::protobuf::Duration& duration) {
   return std::chrono::seconds(duration.seconds()) +
          nanoseconds(duration.nanos());
