--- a/leverwick/fair_queue.cc
+++ b/leverwick/fair_queue.cc
@@ -1,8 +1,8 @@
-// Self-clocked fair queueing: a request's virtual finish is its
-// organisation's last finish, or the virtual time if that is later, plus cost
-// over weight. The waiter with the smallest finish starts next, and its finish
-// becomes the virtual time. One that may not start, because its organisation
-// holds too much for so full a pool, is passed over.
+// Self-clocked fair queueing: a request's virtual finish time is the larger of
+// its organisation's last virtual finish time and the virtual time, plus cost
+// over weight. The waiter with the smallest virtual finish time starts next,
+// and its virtual finish time becomes the virtual time. A waiter is skipped if
+// its organisation runs too many requests for the current load of the pool.
 
 #include "leverwick/fair_queue.h"
 
@@ -12,8 +12,8 @@
 namespace leverwick {
 namespace {
 
-// An organisation that holds its part and this many parts more is as far
-// beyond it as can be.
+// The limit reaches its minimum for an organisation that exceeds its fair share
+// by this many fair shares.
 constexpr double kMaxExcessShares = 3;
 
 }  // namespace
@@ -27,7 +27,8 @@
   double& last_virtual_finish = last_virtual_finish_[organisation];
   double virtual_finish =
       std::max(virtual_time_, last_virtual_finish) + cost / weight;
-  // A waiter that could start would have: those that wait may not.
+  // A waiter that may start has already started, so this request overtakes no
+  // such waiter.
   if (MayStart(organisation)) {
     last_virtual_finish = virtual_finish;
     Start(ticket.id, organisation);
@@ -53,7 +54,8 @@
   return ticket;
 }
 
-// 0 within the part, with one more request; 1 far beyond it.
+// Returns 0 if one more request keeps the organisation within its fair share, 1
+// if it exceeds it by kMaxExcessShares or more, and values in between linearly.
 double FairQueue::ExcessOverShare(const std::string& organisation) const {
   auto found = running_by_organisation_.find(organisation);
   if (found == running_by_organisation_.end() || found->second == 0) return 0;
@@ -72,7 +74,8 @@
   double excess_ratio = ExcessOverShare(organisation);
   double limit = capacity * (1 + options_.overcommit * (1 - excess_ratio) -
                              options_.reserve * excess_ratio);
-  // Of a few places a share may be less than one: rounded in its favour.
+  // With a small capacity the limit may be less than one request: round in
+  // favour of the organisation.
   return running + 1 <= std::max(1.0, std::round(limit));
 }
 
@@ -93,7 +96,7 @@
 bool FairQueue::Cancel(uint64_t id) {
   auto found = waiters_.find(id);
   if (found == waiters_.end()) return false;
-  // The organisation gets back what it was charged for this waiter.
+  // Refund the cost charged to the organisation for this waiter.
   last_virtual_finish_[found->second.organisation] -= found->second.cost;
   by_virtual_finish_.erase({found->second.virtual_finish, id});
   waiters_.erase(found);
@@ -127,7 +130,7 @@
     waiters_.erase(next->second);
     next = by_virtual_finish_.erase(next);
   }
-  // With nobody waiting or running, old debts no longer matter.
+  // In an idle pool, earlier usage no longer counts.
   if (running_.empty() && waiters_.empty()) last_virtual_finish_.clear();
   return started;
 }
--- a/leverwick/log_cache.cc
+++ b/leverwick/log_cache.cc
@@ -1,7 +1,7 @@
-// A page of n records that ends before `next` gets the offsets from next - n
-// on. In a page of a store these are the records' own; in one that another box
-// passed on, where older records of a key are left out, they are the latest
-// that the records can have.
+// The n records of a page that ends before `next` get the offsets from next - n
+// on. In a page from the store these are the records' own offsets. In a page
+// that another box passed on, older records of a key are omitted, and these are
+// the latest offsets that the records can have.
 
 #include "leverwick/log_cache.h"
 
@@ -10,8 +10,8 @@
 namespace leverwick {
 namespace {
 
-// Readers lag by seconds; in a fleet that replaces a thousand endpoints
-// within them, the slowest read everything anew.
+// Readers lag by seconds. If a fleet replaces a thousand endpoints in that
+// time, the slowest readers reload the snapshot.
 constexpr size_t kMaxTombstones = 1000;
 
 }  // namespace
@@ -23,7 +23,7 @@
   tombstones_.clear();
   uint64_t offset = end - std::min<uint64_t>(end, records.size());
   for (const KeyedRecord& record : records) StoreRecord(offset++, record);
-  complete_from_ = end;  // keys dropped before are unknown here
+  complete_from_ = end;  // keys deleted earlier are unknown here
   end_ = end;
   as_of_ = as_of;
   has_snapshot_ = true;
--- a/leverwick/peer_prompts.cc
+++ b/leverwick/peer_prompts.cc
@@ -1,14 +1,14 @@
-// Sums are kept by endpoint, since a choice asks for each endpoint's. An
-// endpoint without prompts is dropped with its sum, so that rounding does not
-// add up.
+// Sums are kept by endpoint, since each choice reads the sum of every
+// candidate. The entry of an endpoint without prompts is erased together with
+// its sum, so that rounding errors don't accumulate.
 
 #include "leverwick/peer_prompts.h"
 
 namespace leverwick {
 namespace {
 
-// A prompt whose end was not told is taken to be read after this, longer than
-// the slowest model reads the longest.
+// The prefill of a prompt is taken to be complete after this time if no report
+// arrives. It is longer than the longest prefill of the slowest model.
 constexpr std::chrono::seconds kMaxPrefillTime{6};
 
 }  // namespace
@@ -17,7 +17,7 @@
   auto added = prompts_.emplace(
       Key(prompt.incarnation, prompt.ticket),
       PendingPrompt{prompt.endpoint, prompt.prefill_time, now});
-  if (!added.second) return;  // a datagram that came twice
+  if (!added.second) return;  // a duplicate datagram
   EndpointTotal& endpoint = endpoints_[prompt.endpoint];
   endpoint.prefill_time += prompt.prefill_time;
   ++endpoint.prompts;
--- a/leverwick/rate_limiter.cc
+++ b/leverwick/rate_limiter.cc
@@ -1,13 +1,14 @@
-// The least share since the last settled epoch bounds the usable one, because
-// a peer may still be at any epoch since then.
+// The usable share is at most the minimum share since the last settled epoch,
+// because a peer may still be at any epoch since then.
 //
-// Two token buckets an organisation, requests and tokens, filled at
-// limit * part * share. The bucket holds kBurst seconds of that rate, so the
-// most an organisation can exceed its limit by is that burst, once.
+// Each organisation has two token buckets, one for requests and one for tokens,
+// which are refilled at limit * data_centre_share * share. A bucket holds the
+// refill of kBurstWindow, so an organisation can exceed its limit by at most
+// that burst, once.
 //
-// Demand is the larger of the asked requests and tokens per second over the
-// last kMeasure, as a fraction of the data centre's part; a box gives away
-// only what lies above its demand, and wants what lies below.
+// Demand is the larger of the requested requests and tokens per second over
+// kDemandWindow, as a fraction of the data centre's limit. A box gives away
+// only share above its demand and requests share only below it.
 
 #include "leverwick/rate_limiter.h"
 
@@ -22,24 +23,26 @@
 constexpr Seconds kBurstWindow(1.0);
 constexpr Seconds kDemandWindow(1.0);
 constexpr Seconds kMaxRetryAfter(30.0);
-// A box keeps this much more than its demand, and this much at least.
+// A box keeps a share of kDemandHeadroom times its demand, and at least
+// kMinShare.
 constexpr double kDemandHeadroom = 1.25;
 constexpr double kMinShare = 0.02;
 
 void Refill(double rate, TimePoint now, TimePoint* last_refill,
-            bool* initialized, double* balance) {
+            bool* initialized, double* level) {
   double burst = std::max(1.0, rate * kBurstWindow.count());
   if (!*initialized) {
     *initialized = true;
-    *balance = burst;
+    *level = burst;
   } else {
-    *balance = std::min(burst, *balance + rate * ToSeconds(now - *last_refill));
+    *level = std::min(burst, *level + rate * ToSeconds(now - *last_refill));
   }
   *last_refill = now;
 }
 
-// Time until the bucket holds `need` more.
-nanoseconds TimeUntilAvailable(double needed, double rate) {
+// Returns the time until the bucket holds `needed` more, at most
+// kMaxRetryAfter.
+nanoseconds RefillTime(double needed, double rate) {
   if (needed <= 0) return nanoseconds(0);
   double seconds = rate > 0 ? needed / rate : kMaxRetryAfter.count();
   return FromSeconds(std::min(seconds, kMaxRetryAfter.count()));
@@ -132,28 +135,25 @@
   bool limits_requests = organisation.requests_per_second() > 0;
   bool limits_tokens = organisation.tokens_per_second() > 0;
   Refill(request_rate, now, &state.requests.last_refill,
-         &state.requests.initialized, &state.requests.balance);
+         &state.requests.initialized, &state.requests.level);
   Refill(token_rate, now, &state.tokens.last_refill, &state.tokens.initialized,
-         &state.tokens.balance);
-  // A request larger than the burst passes once the bucket is full.
+         &state.tokens.level);
+  // A request larger than the burst is admitted once the bucket is full.
   double needed =
       std::min(tokens, std::max(1.0, token_rate * kBurstWindow.count()));
-  bool has_requests = !limits_requests || state.requests.balance >= 1;
-  bool has_tokens = !limits_tokens || state.tokens.balance >= needed;
+  bool has_requests = !limits_requests || state.requests.level >= 1;
+  bool has_tokens = !limits_tokens || state.tokens.level >= needed;
   if (has_requests && has_tokens) {
-    if (limits_requests) state.requests.balance -= 1;
-    if (limits_tokens) state.tokens.balance -= tokens;
+    if (limits_requests) state.requests.level -= 1;
+    if (limits_tokens) state.tokens.level -= tokens;
     return Decision{true, nanoseconds(0)};
   }
-  nanoseconds retry_after{0};
-  if (!has_requests)
-    retry_after = TimeUntilAvailable(1 - state.requests.balance, request_rate);
+  nanoseconds wait{0};
+  if (!has_requests) wait = RefillTime(1 - state.requests.level, request_rate);
   if (!has_tokens) {
-    retry_after =
-        std::max(retry_after,
-                 TimeUntilAvailable(needed - state.tokens.balance, token_rate));
+    wait = std::max(wait, RefillTime(needed - state.tokens.level, token_rate));
   }
-  return Decision{false, retry_after};
+  return Decision{false, wait};
 }
 
 void RateLimiter::ReconcileTokens(const std::string& organisation,
@@ -162,7 +162,7 @@
   std::lock_guard<std::mutex> lock(shard.mutex);
   auto found = shard.organisations.find(organisation);
   if (found == shard.organisations.end()) return;
-  found->second.tokens.balance += expected - actual;
+  found->second.tokens.level += expected - actual;
 }
 
 double RateLimiter::ReleaseShare(const std::string& organisation,
--- a/leverwick/rate_limiter.h
+++ b/leverwick/rate_limiter.h
@@ -76,7 +76,7 @@
 
  private:
   struct TokenBucket {
-    double balance = 0;  // requests or tokens that may be spent now
+    double level = 0;  // requests or tokens that may be spent now
     TimePoint last_refill{};
     bool initialized = false;
   };
--- a/leverwick/read_sources.cc
+++ b/leverwick/read_sources.cc
@@ -1,5 +1,5 @@
-// Among the readers a box prefers one by a hash of its own name, so that the
-// readers share the others without talking.
+// Each box selects among the readers by a hash of its own name, which spreads
+// the boxes over the readers without coordination.
 
 #include "leverwick/read_sources.h"
 
@@ -11,8 +11,8 @@
 namespace leverwick {
 namespace {
 
-// A box that restarts is back within seconds; one that stays away costs an
-// attempt in every longest pause.
+// Backoff after failures, doubled each time. A box that restarts is back within
+// seconds; one that stays away costs one attempt per maximum backoff.
 constexpr nanoseconds kMinBackoff = std::chrono::seconds(1);
 constexpr nanoseconds kMaxBackoff = std::chrono::seconds(16);
 
--- a/leverwick/slow_start.cc
+++ b/leverwick/slow_start.cc
@@ -1,10 +1,11 @@
-// A sliding second is kept exactly: a sender that has sent its quota waits
-// until its oldest send is a second old.
+// The quota applies to a sliding window of one second: a sender that has used
+// its quota waits until enough of its sends have left the window.
 //
-// There are as many senders as the rate has whole requests, if the fleet is
-// large enough: with fewer senders of more requests each an endpoint gets less,
-// since a box's requests come unevenly. Equal shares for all boxes, and counts
-// of what boxes of a data centre tell each other, let it get far more.
+// The number of senders is the number of whole requests in the rate, up to the
+// number of boxes. With fewer senders of larger quotas an endpoint receives
+// less than its rate, since the requests of a box arrive unevenly. Equal shares
+// for all boxes, or counts that the boxes of a data centre report to each
+// other, would let it receive far more.
 
 #include "leverwick/slow_start.h"
 
@@ -16,9 +17,9 @@
 namespace leverwick {
 namespace {
 
-constexpr std::chrono::seconds kQuotaWindow{1};
-// A box that does not know the other boxes yet. They are known half a second
-// after a start, mostly before the endpoints are.
+constexpr std::chrono::seconds kWindow{1};
+// Quota of a box that has not read the list of boxes yet. The list is read half
+// a second after a start, mostly before the endpoints are.
 constexpr size_t kQuotaWithoutFleet = 1;
 
 }  // namespace
@@ -29,7 +30,7 @@
   Quota quota;
   quota.senders = static_cast<size_t>(senders);
   double requests_per_sender = std::floor(rate / senders);
-  // A slower endpoint than that would never become warm for anyone.
+  // An endpoint must receive at least one request per second to become warm.
   quota.requests_per_sender =
       static_cast<size_t>(std::max(1.0, requests_per_sender));
   return quota;
@@ -108,26 +109,24 @@
   if (found == endpoints_.end()) return nanoseconds(0);
   const std::deque<TimePoint>& sends = found->second.sends;
   if (sends.size() < quota) return nanoseconds(0);
-  // The send that must have left the window before there is room again.
-  nanoseconds until_slot_free =
-      sends[sends.size() - quota] + kQuotaWindow - now;
+  // Time until the send that must leave the window before the next one is
+  // allowed.
+  nanoseconds until_slot_free = sends[sends.size() - quota] + kWindow - now;
   return std::min(until_slot_free, until_warm);
 }
 
 void SlowStart::RecordSend(const std::string& endpoint, TimePoint now) {
   if (limits_.empty()) return;
   std::deque<TimePoint>& sends = endpoints_[endpoint].sends;
-  while (!sends.empty() && now - sends.front() >= kQuotaWindow)
-    sends.pop_front();
+  while (!sends.empty() && now - sends.front() >= kWindow) sends.pop_front();
   sends.push_back(now);
 }
 
 void SlowStart::Expire(TimePoint now) {
   for (auto entry = endpoints_.begin(); entry != endpoints_.end();) {
-    const EndpointState& found = entry->second;
-    bool is_idle =
-        found.sends.empty() || now - found.sends.back() >= kQuotaWindow;
-    bool is_expired = is_idle && found.cold_until <= now;
+    const EndpointState& state = entry->second;
+    bool is_idle = state.sends.empty() || now - state.sends.back() >= kWindow;
+    bool is_expired = is_idle && state.cold_until <= now;
     entry = is_expired ? endpoints_.erase(entry) : std::next(entry);
   }
 }
