--- a/leverwick/testing/fair_queue_test.cc
+++ b/leverwick/testing/fair_queue_test.cc
@@ -12,7 +12,7 @@
 
 std::vector<uint64_t> shed;
 
-TEST_CASE("free places are taken at once, then requests wait in order") {
+TEST_CASE("requests start while there is capacity, then wait in order") {
   FairQueue queue(1, 10);
   auto first = queue.Submit("a", 1, 5, 10, &shed);
   auto second = queue.Submit("a", 1, 5, 10, &shed);
@@ -21,7 +21,8 @@
   CHECK(queue.Finish(first.id) == std::vector<uint64_t>{second.id});
 }
 
-TEST_CASE("long requests of one do not hold up short ones of another") {
+TEST_CASE(
+    "long requests of one organisation do not delay short ones of another") {
   FairQueue queue(1, 1000);
   auto running = queue.Submit("long", 1, 5, 5000, &shed);
   for (int i = 0; i < 50; ++i) queue.Submit("long", 1, 5, 5000, &shed);
@@ -46,7 +47,7 @@
   CHECK(served["heavy"] <= 155);
 }
 
-TEST_CASE("the least important waiter is shed when the queue is full") {
+TEST_CASE("the waiter of lowest priority is shed when the queue is full") {
   FairQueue queue(1, 2);
   queue.Submit("a", 1, 5, 1, &shed);
   auto low = queue.Submit("a", 1, 1, 1, &shed);
@@ -60,7 +61,7 @@
   CHECK(shed.empty());
 }
 
-// The same rule with a list that is searched from end to end.
+// The same rule, implemented with a list that is searched linearly.
 class ReferenceFairQueue {
  public:
   ReferenceFairQueue(size_t capacity, const FairQueueOptions& options)
@@ -74,7 +75,7 @@
     last_virtual_finish =
         std::max(virtual_time_, last_virtual_finish) + cost / weight;
     waiting_.push_back({last_virtual_finish, id});
-    // Nobody else may start now, or it would have started before.
+    // No other waiter may start now, since it would already have started.
     if (MayStart(organisation)) {
       waiting_.pop_back();
       running_.insert(id);
@@ -113,7 +114,7 @@
     double total = 0;
     for (const auto& entry : weights_) total += entry.second;
     double fair_share = capacity * weights_[organisation] / total;
-    // The limit falls in a straight line from the part to four times it.
+    // The limit decreases linearly between the fair share and four times it.
     double max_limit = capacity * (1 + options_.overcommit);
     double min_limit = capacity * (1 - options_.reserve);
     double limit = max_limit;
@@ -138,7 +139,7 @@
   std::vector<std::pair<double, uint64_t>> waiting_;
 };
 
-TEST_CASE("the queue serves in the order of the naive one") {
+TEST_CASE("the queue serves in the order of the reference implementation") {
   for (unsigned seed = 1; seed <= 50; ++seed) {
     std::mt19937 random(seed);
     FairQueueOptions options;
@@ -168,12 +169,12 @@
   }
 }
 
-TEST_CASE("a flood leaves places and waiting room to the others") {
+TEST_CASE("a flood leaves capacity and queue space to other organisations") {
   FairQueueOptions options;
   options.reserve = 0.2;
   options.overcommit = 0.25;
   FairQueue queue(20, 30, options);
-  // Ten organisations of one weight: a part is two places.
+  // Ten organisations of equal weight: the fair share is two requests.
   for (int i = 0; i < 9; ++i) {
     auto known = queue.Submit("small" + std::to_string(i), 1, 5, 1, &shed);
     queue.Finish(known.id);
@@ -181,19 +182,20 @@
   for (int i = 0; i < 100; ++i) queue.Submit("flood", 1, 5, 100, &shed);
   CHECK(queue.running() == 16);
   CHECK(queue.waiting() == 30);
-  // All of the others' parts in use at once: none waits, up to the overcommit.
+  // All other organisations use their fair shares at once: none waits, up to
+  // the overcommit.
   for (int i = 0; i < 9; ++i) {
     auto ticket = queue.Submit("small" + std::to_string(i), 1, 5, 1, &shed);
     CHECK(ticket.state == FairQueue::kRunning);
   }
   CHECK(queue.running() == 25);
-  // Full: the flood's last waiter makes room.
+  // The queue is full, so the flooding organisation's last waiter is shed.
   shed.clear();
   CHECK(queue.Submit("small0", 1, 5, 1, &shed).state == FairQueue::kWaiting);
   CHECK(shed.size() == 1);
 }
 
-TEST_CASE("one organisation alone has all places, and no more") {
+TEST_CASE("a single organisation uses the full capacity but no overcommit") {
   FairQueueOptions options;
   options.reserve = 0.2;
   options.overcommit = 0.25;
@@ -202,7 +204,7 @@
   CHECK(queue.running() == 20);
 }
 
-TEST_CASE("a waiter that gives up leaves no debt") {
+TEST_CASE("a cancelled waiter is not charged to its organisation") {
   FairQueue queue(1, 10);
   auto running = queue.Submit("a", 1, 5, 1, &shed);
   auto gone = queue.Submit("b", 1, 5, 1000, &shed);
--- a/leverwick/testing/log_cache_test.cc
+++ b/leverwick/testing/log_cache_test.cc
@@ -1,5 +1,5 @@
-// A reader that applies pages of a LogCache stands where one stands that has
-// read every record of the log.
+// Tests that a reader that applies pages of a LogCache reaches the same state
+// as one that has read every record of the log.
 
 #include "leverwick/log_cache.h"
 
@@ -25,7 +25,7 @@
   }
 }
 
-// Every record of a log and what it means: the slow reference.
+// Reference implementation: keeps every record of a log and replays them.
 class ReferenceLog {
  public:
   void Append(const KeyedRecord& record) { records_.push_back(record); }
@@ -58,14 +58,14 @@
   std::vector<KeyedRecord> records_;
 };
 
-// Some hundred records of a dozen keys; each fourth drops its key.
+// Returns a record with one of twelve keys; one in four is a tombstone.
 KeyedRecord RandomRecord(std::mt19937* random, int number) {
   std::string key = "k" + std::to_string((*random)() % 12);
   if ((*random)() % 4 == 0) return {key, std::nullopt};
   return {key, std::to_string(number)};
 }
 
-TEST_CASE("pages of a cache bring a reader where the whole log would") {
+TEST_CASE("a reader of cache pages reaches the state of the complete log") {
   std::mt19937 random(1);
   for (int round = 0; round < 200; ++round) {
     ReferenceLog log;
@@ -76,7 +76,7 @@
     LogState reader = log.StateAt(reader_next);
     for (int i = 20; i < 120; ++i) {
       log.Append(RandomRecord(&random, i));
-      // Both fall behind by a random number of records.
+      // The cache and the reader each lag by a random number of records.
       if (random() % 3 == 0) cache.ApplyPage(log.Page(cache.end(), log.end()));
       if (random() % 5 != 0) continue;
       LogPage page;
@@ -93,7 +93,7 @@
   }
 }
 
-TEST_CASE("a cache fed by another cache serves as well as one fed by the log") {
+TEST_CASE("a cache that reads from another cache serves the same state") {
   std::mt19937 random(2);
   ReferenceLog log;
   LogCache first;
@@ -117,7 +117,8 @@
   }
 }
 
-TEST_CASE("who has missed a drop that is forgotten reads everything anew") {
+TEST_CASE(
+    "a reader that missed an evicted tombstone must reload the snapshot") {
   LogCache cache;
   cache.LoadSnapshot({{"a", "1"}}, 1, TimePoint());
   LogPage page;
@@ -131,7 +132,7 @@
   CHECK_FALSE(cache.ReadFrom(1, &page));
   CHECK_FALSE(cache.ReadFrom(500, &page));
   CHECK(cache.ReadFrom(1500, &page));
-  // Before the snapshot nothing is known of drops.
+  // Tombstones from before the snapshot are unknown.
   LogCache reloaded;
   reloaded.LoadSnapshot({{"a", "1"}}, 10, TimePoint());
   CHECK_FALSE(reloaded.ReadFrom(9, &page));
@@ -139,7 +140,8 @@
   CHECK(page.records.size() == 1);
 }
 
-TEST_CASE("a page that does not reach the end proves nothing newer") {
+TEST_CASE(
+    "a page that does not reach the end of the log does not advance as_of") {
   LogCache cache;
   TimePoint start;
   cache.LoadSnapshot({}, 0, start);
--- a/leverwick/testing/peer_prompts_test.cc
+++ b/leverwick/testing/peer_prompts_test.cc
@@ -22,7 +22,7 @@
   return prompt;
 }
 
-// The plain form: every prompt in a list, summed anew at each question.
+// Reference implementation: a list of all prompts, summed on each call.
 class ReferencePrompts {
  public:
   void RecordSend(const SentPrompt& prompt, TimePoint now) {
@@ -63,7 +63,7 @@
   std::vector<std::pair<SentPrompt, TimePoint>> prompts_;
 };
 
-TEST_CASE("what endpoints read for other boxes is as by a plain list") {
+TEST_CASE("pending prefill times match a reference implementation") {
   std::mt19937 random(3);
   PeerPrompts prompts;
   ReferencePrompts reference;
@@ -99,7 +99,7 @@
   }
 }
 
-TEST_CASE("the same ticket of another life is another prompt") {
+TEST_CASE("the same ticket of another incarnation is a different prompt") {
   PeerPrompts prompts;
   prompts.RecordSend(MakePrompt(1, 7, "a", 1), kStart);
   prompts.RecordSend(MakePrompt(2, 7, "a", 2), kStart);
--- a/leverwick/testing/rate_limiter_test.cc
+++ b/leverwick/testing/rate_limiter_test.cc
@@ -21,7 +21,7 @@
   return TimePoint() + FromSeconds(1e6 + seconds);
 }
 
-TEST_CASE("a limit is kept and says when to come back") {
+TEST_CASE("a limit is enforced and a refusal says when to retry") {
   RateLimiter limiter;
   limiter.SetRoster(1, 2, 0.5, true);
   Organisation organisation = MakeOrganisation(40, 0);
@@ -32,14 +32,15 @@
     admitted += decision.admitted ? 1 : 0;
     if (!decision.admitted) retry_after = decision.retry_after;
   }
-  // 40 a second, half for the data centre, half of that for the box: 10.
+  // 40 requests per second, half of them for the data centre and half of that
+  // for the box: 10 per second.
   CHECK(admitted >= 95);
   CHECK(admitted <= 110);
   CHECK(ToSeconds(retry_after) > 0);
   CHECK(ToSeconds(retry_after) <= 0.1001);
 }
 
-TEST_CASE("tokens are limited too and corrected afterwards") {
+TEST_CASE("tokens are limited and reconciled with the actual number") {
   RateLimiter limiter;
   limiter.SetRoster(1, 1, 1, true);
   Organisation organisation = MakeOrganisation(0, 100);
@@ -49,7 +50,7 @@
   CHECK(limiter.Admit(organisation, 50, At(0.1)).admitted);
 }
 
-TEST_CASE("no limit admits everything") {
+TEST_CASE("an organisation without limits is always admitted") {
   RateLimiter limiter;
   Organisation organisation = MakeOrganisation(0, 0);
   for (int i = 0; i < 100; ++i) {
@@ -57,8 +58,9 @@
   }
 }
 
-// Boxes that move through epochs at their own pace, give shares away, lose
-// answers, die and join. What the live ones may use never exceeds the limit.
+// Boxes move through epochs independently, give share to peers, lose replies,
+// stop and join. The sum of the shares that live boxes may use must never
+// exceed the limit.
 TEST_CASE("the shares of a data centre never sum above one") {
   struct Box {
     RateLimiter limiter;
@@ -94,7 +96,7 @@
           if (boxes.size() < 8) add_box();
           break;
         case 1:
-          // A box is taken from the roster only when it takes no more work.
+          // A box leaves the roster only after it has stopped taking work.
           if (pick(4) == 0) box.alive = false;
           break;
         case 2:
@@ -138,7 +140,7 @@
   }
 }
 
-TEST_CASE("share moves to the box with the demand") {
+TEST_CASE("share moves to the box that has the demand") {
   RateLimiter busy;
   RateLimiter quiet;
   for (RateLimiter* limiter : {&busy, &quiet})
--- a/leverwick/testing/read_sources_test.cc
+++ b/leverwick/testing/read_sources_test.cc
@@ -22,7 +22,8 @@
   return boxes;
 }
 
-// A data centre whose boxes ask each other, and which of them answer.
+// A data centre whose boxes read from each other. `down` lists the boxes that
+// do not reply.
 class SimulatedDataCentre {
  public:
   SimulatedDataCentre(int count, int readers) : boxes_(MakeBoxes(count)) {
@@ -32,8 +33,8 @@
     }
   }
 
-  // Every box that is up chooses until its choice answers. Returns by box whom
-  // it reads from, "" for the store.
+  // Lets every running box choose until its choice replies. Returns the source
+  // of each box by name, "" for the store.
   std::map<std::string, std::string> ResolveSources(TimePoint now) {
     std::map<std::string, std::string> reads;
     for (size_t i = 0; i < boxes_.size(); ++i) {
@@ -68,14 +69,14 @@
   return readers;
 }
 
-// How many boxes pass a record on before it reaches this one.
+// Returns the number of boxes that pass a record on before it reaches this one.
 int HopsToStore(std::map<std::string, std::string> reads, std::string box) {
   int hops = 0;
   for (; !reads[box].empty(); box = reads[box]) ++hops;
   return hops;
 }
 
-TEST_CASE("whatever boxes are down, a few read the store for all others") {
+TEST_CASE("whichever boxes are down, one to max_readers boxes read the store") {
   std::mt19937 random(1);
   for (int round = 0; round < 300; ++round) {
     int count = 1 + static_cast<int>(random() % 30);
@@ -87,13 +88,14 @@
       for (const LogBox& box : MakeBoxes(count)) {
         if (random() % 3 == 0) centre.down.insert(box.name);
       }
-      // Longer than any pause: what was down is tried again.
+      // Longer than the maximum backoff: boxes that were down are tried again.
       now += 40 * kSecond;
       auto reads = centre.ResolveSources(now);
       if (reads.empty()) continue;
       CHECK(CountStoreReaders(reads) >= 1);
       CHECK(CountStoreReaders(reads) <= readers);
-      // With one reader all agree; with more, some may know less than others.
+      // With one reader all boxes agree on it. With more, boxes may have
+      // detected different failures, which adds hops.
       int max_hops = 0;
       for (const auto& read : reads) {
         max_hops = std::max(max_hops, HopsToStore(reads, read.first));
@@ -103,7 +105,7 @@
   }
 }
 
-TEST_CASE("the boxes of most capacity read; they share the others") {
+TEST_CASE("the boxes of largest capacity read; the others spread over them") {
   SimulatedDataCentre centre(60, 2);
   std::map<std::string, int> readers_by_source;
   for (const auto& read : centre.ResolveSources(TimePoint())) {
@@ -114,7 +116,7 @@
   CHECK(readers_by_source.begin()->first == "box-0");
 }
 
-TEST_CASE("a box that fails is left alone for longer and longer") {
+TEST_CASE("repeated failures of a box double its backoff up to the maximum") {
   std::vector<LogBox> boxes = MakeBoxes(2);
   ReadSources sources(boxes[1], 1);
   sources.SetBoxes(boxes);
@@ -134,7 +136,7 @@
   CHECK(sources.ChooseSource(now + kSecond));
 }
 
-TEST_CASE("lost is a box that has answered nothing since; stale is an answer") {
+TEST_CASE("a stale reply ends the time for which a box counts as unreachable") {
   std::vector<LogBox> boxes = MakeBoxes(2);
   ReadSources sources(boxes[1], 1);
   sources.SetBoxes(boxes);
@@ -149,7 +151,7 @@
   sources.RecordStale("box-0", start + 60 * kSecond);
   CHECK(
       sources.BoxesUnreachableFor(60 * kSecond, start + 60 * kSecond).empty());
-  // A box that is not listed any more is no source and not lost either.
+  // A box that is no longer listed is neither a source nor unreachable.
   sources.RecordUnreachable("box-0", start);
   sources.SetBoxes({});
   CHECK(sources.BoxesUnreachableFor(kSecond, start + 60 * kSecond).empty());
--- a/leverwick/testing/slow_start_simulation.h
+++ b/leverwick/testing/slow_start_simulation.h
@@ -1,14 +1,16 @@
-// Plays the return of a drained data centre before a fleet of boxes.
+// SlowStartSimulation simulates a fleet of boxes when a drained data centre is
+// restored.
 //
-// Each box sends its callers' requests to the endpoint that has had the fewest
-// in the last second, as far as the box knows: its own sends, and those that
-// boxes of its data centre tell a little later. Endpoints that come back cold
-// have had none, so all boxes want them. One of them is also the preferred one
-// of a hot prompt. What a policy lets boxes send is counted at the endpoints.
-// No sockets, no clock; a seed decides everything.
+// Each box sends its callers' requests to the endpoint that has received the
+// fewest in the last second as far as the box knows: its own sends, and those
+// that other boxes of its data centre report with a delay. Restored endpoints
+// are cold and have received none, so all boxes prefer them. One of them is
+// also the preferred endpoint of a hot prompt. The simulation counts the
+// requests that each endpoint receives under a policy for cold endpoints. It
+// uses no sockets and no clock, and is deterministic for a seed.
 //
-//   SlowStartPlay play(fleet, seed);
-//   PlayedReturn result = play.Run(policy);
+//   SlowStartSimulation simulation(fleet, seed);
+//   RestoreResult result = simulation.Run(&policy);
 
 #ifndef LEVERWICK_TESTING_SLOW_START_SIMULATION_H_
 #define LEVERWICK_TESTING_SLOW_START_SIMULATION_H_
@@ -26,30 +28,32 @@
 namespace leverwick {
 
 struct SimulatedFleet {
-  size_t boxes = 65;           // in three data centres
-  size_t warm_endpoints = 75;  // endpoints
+  size_t boxes = 65;  // in three data centres
+  size_t warm_endpoints = 75;
   size_t cold_endpoints = 37;
-  double requests_per_second = 1100;  // a second, of all boxes
-  double hot_prompt_share =
-      0.04;  // share of the requests that are of the hot prompt
-  double stale_box_share = 0;  // share of the boxes that know only some others
-  double unknown_to_stale_share =
-      0;  // share of the others that those don't know
+  double requests_per_second = 1100;  // of all boxes
+  double hot_prompt_share = 0.04;     // of the requests
+  // Share of the boxes that have a partial view of the fleet.
+  double stale_box_share = 0;
+  // Share of the other boxes that is missing in such a view.
+  double unknown_to_stale_share = 0;
 };
 
 struct RestoreResult {
-  size_t max_requests_per_second =
-      0;  // requests in a second at one cold endpoint
-  double mean_requests_per_second = 0;  // requests a second at a cold endpoint
-  size_t refused = 0;                   // requests that no endpoint could take
+  // The maximum at one cold endpoint, over any second.
+  size_t max_requests_per_second = 0;
+  // The mean over all cold endpoints.
+  double mean_requests_per_second = 0;
+  size_t refused = 0;  // requests that no endpoint could accept
 };
 
-// What a box lets itself send to a cold endpoint.
+// Decides which requests a box may send to a cold endpoint.
 class ColdSendPolicy {
  public:
   virtual ~ColdSendPolicy() = default;
-  // `told`: sends of the last second that the box knows of, its own among them.
-  virtual bool MaySend(size_t box, size_t endpoint, size_t reported,
+  // `observed` is the number of sends of the last second that the box is aware
+  // of, including its own.
+  virtual bool MaySend(size_t box, size_t endpoint, size_t observed,
                        TimePoint now) = 0;
   virtual void RecordSend(size_t box, size_t endpoint, TimePoint now) = 0;
 };
@@ -61,7 +65,7 @@
   void RecordSend(size_t, size_t, TimePoint) override {}
 };
 
-// Each box has its share of the rate, one request saved up at the most.
+// Each box has an equal share of the rate and may save up at most one request.
 class EqualShares : public ColdSendPolicy {
  public:
   EqualShares(double rate, size_t boxes, size_t endpoints)
@@ -79,21 +83,21 @@
   std::vector<std::vector<TimePoint>> next_;
 };
 
-// The rate is kept by what boxes of a data centre tell each other; each data
-// centre has a third of it.
+// Enforces the rate by the sends that boxes of a data centre report to each
+// other. Each data centre has a third of the rate.
 class PeerReportedCounts : public ColdSendPolicy {
  public:
-  explicit PeerReportedCounts(double rate) : third_(rate / 3) {}
-  bool MaySend(size_t, size_t, size_t reported, TimePoint) override {
-    return static_cast<double>(reported + 1) <= third_;
+  explicit PeerReportedCounts(double rate) : rate_per_data_centre_(rate / 3) {}
+  bool MaySend(size_t, size_t, size_t observed, TimePoint) override {
+    return static_cast<double>(observed + 1) <= rate_per_data_centre_;
   }
   void RecordSend(size_t, size_t, TimePoint) override {}
 
  private:
-  const double third_;
+  const double rate_per_data_centre_;
 };
 
-// SlowStart of each box.
+// Runs a SlowStart for each box.
 class RendezvousSenders : public ColdSendPolicy {
  public:
   RendezvousSenders(double rate, const SimulatedFleet& fleet, uint64_t seed) {
@@ -101,11 +105,11 @@
     auto draw = [&] { return std::uniform_real_distribution<>(0, 1)(random); };
     for (size_t box = 0; box < fleet.boxes; ++box) {
       auto slow_start = std::make_unique<SlowStart>(NameOf(box));
-      bool stale = draw() < fleet.stale_box_share;
+      bool is_stale = draw() < fleet.stale_box_share;
       std::vector<std::string> others;
       for (size_t other = 0; other < fleet.boxes; ++other) {
-        bool unknown = stale && draw() < fleet.unknown_to_stale_share;
-        if (other != box && !unknown) others.push_back(NameOf(other));
+        bool is_unknown = is_stale && draw() < fleet.unknown_to_stale_share;
+        if (other != box && !is_unknown) others.push_back(NameOf(other));
       }
       slow_start->SetBoxes(others);
       slow_start->SetLimits({{"service", {rate, std::chrono::seconds(3)}}});
@@ -143,14 +147,16 @@
   }
 
   RestoreResult Run(ColdSendPolicy* policy) {
-    // Boxes learn of the return within the time of a held read.
+    // Each box detects the restored data centre after a random delay of up to
+    // the duration of a long poll.
     std::vector<double> aware_at;
     for (size_t i = 0; i < fleet_.boxes; ++i) aware_at.push_back(0.9 * Draw());
     std::discrete_distribution<size_t> pick_box(weights_.begin(),
                                                 weights_.end());
     std::exponential_distribution<> pause(fleet_.requests_per_second);
     RestoreResult result;
-    // The warm endpoints' load builds up in the second before the return.
+    // The load of the warm endpoints builds up in the second before the data
+    // centre is restored.
     for (double at = -1; at < kColdSeconds; at += pause(random_)) {
       size_t box = pick_box(random_);
       size_t usable =
@@ -168,8 +174,9 @@
   };
   static constexpr double kColdSeconds = 3;
   static constexpr milliseconds kReportDelay{12};
-  // Requests in the last second that a hot prompt's preferred endpoint may have
-  // had more than another: reading the prompt elsewhere costs as much.
+  // A hot prompt goes to its preferred endpoint even if that has received this
+  // many more requests in the last second than another, since prefill elsewhere
+  // costs as much.
   static constexpr size_t kHotPromptAdvantage = 8;
 
   double Draw() { return std::uniform_real_distribution<>(0, 1)(random_); }
@@ -197,12 +204,12 @@
     size_t min_count = SIZE_MAX;
     for (size_t endpoint = 0; endpoint < usable; ++endpoint) {
       size_t observed = ObservedSends(endpoint, box, now);
-      bool may =
+      bool may_send =
           !IsCold(endpoint) || policy->MaySend(box, endpoint, observed, now);
       bool preferred = is_hot && endpoint == fleet_.warm_endpoints;
       size_t effective_count =
           preferred ? observed : observed + kHotPromptAdvantage;
-      if (!may || effective_count > min_count) continue;
+      if (!may_send || effective_count > min_count) continue;
       if (effective_count < min_count) candidates.clear();
       min_count = effective_count;
       candidates.push_back(endpoint);
--- a/leverwick/testing/slow_start_test.cc
+++ b/leverwick/testing/slow_start_test.cc
@@ -8,9 +8,9 @@
 namespace {
 
 const TimePoint kStart = TimePoint() + std::chrono::hours(1);
-constexpr double kRatePerSecond =
-    13;  // a second, that a played cold endpoint bears
-// What breaks a played endpoint.
+// Requests per second that a simulated cold endpoint sustains.
+constexpr double kRatePerSecond = 13;
+// More requests per second than this crash a simulated cold endpoint.
 constexpr size_t kBreakingRequestsPerSecond = 24;
 
 ListedEndpoint Listed(const std::string& id) {
@@ -21,7 +21,8 @@
   return endpoint;
 }
 
-// A box alone in its fleet, whose service bears two requests a second.
+// The only box of a fleet. The cold endpoints of its service sustain two
+// requests per second.
 struct SingleBox {
   SlowStart slow_start{"box"};
   ListedEndpoint endpoint = Listed("a");
@@ -30,7 +31,7 @@
     slow_start.SetBoxes({});
     slow_start.SetLimits({{"service", {2, std::chrono::seconds(3)}}});
   }
-  // How many of ten requests at this moment may go.
+  // Returns how many of ten requests at this moment may be sent.
   size_t CountAllowed(TimePoint now) {
     size_t allowed = 0;
     for (int i = 0; i < 10; ++i) {
@@ -42,7 +43,7 @@
   }
 };
 
-TEST_CASE("a warm endpoint, or one without a limit, takes everything") {
+TEST_CASE("a warm endpoint, or one without a limit, is not limited") {
   SingleBox single_box;
   CHECK(single_box.CountAllowed(kStart) == 10);
   single_box.slow_start.RecordWarmUp("a", milliseconds(3000), kStart);
@@ -50,7 +51,8 @@
   CHECK(single_box.CountAllowed(kStart) == 10);
 }
 
-TEST_CASE("a cold endpoint gets its rate in any second, until it is warm") {
+TEST_CASE(
+    "a cold endpoint is limited to its rate in any second until it is warm") {
   SingleBox single_box;
   single_box.slow_start.RecordWarmUp("a", milliseconds(3000), kStart);
   CHECK(single_box.CountAllowed(kStart) == 2);
@@ -62,7 +64,7 @@
   CHECK(single_box.CountAllowed(kStart + milliseconds(3000)) == 10);
 }
 
-TEST_CASE("sends before it was known to be cold count") {
+TEST_CASE("sends from before the endpoint reported that it is cold count") {
   SingleBox single_box;
   CHECK(single_box.CountAllowed(kStart) == 10);
   single_box.slow_start.RecordWarmUp("a", milliseconds(3000),
@@ -71,7 +73,7 @@
   CHECK(single_box.CountAllowed(kStart + milliseconds(1000)) == 2);
 }
 
-TEST_CASE("an endpoint is warm when it says so") {
+TEST_CASE("an endpoint is warm once it reports so") {
   SingleBox single_box;
   single_box.slow_start.RecordWarmUp("a", milliseconds(3000), kStart);
   single_box.slow_start.RecordWarmUp("a", milliseconds(0),
@@ -80,7 +82,7 @@
                                            kStart + milliseconds(800)));
 }
 
-TEST_CASE("one whose data centre is back is cold, whatever it said before") {
+TEST_CASE("an endpoint of a restored data centre is cold whatever it reports") {
   SingleBox single_box;
   single_box.slow_start.RecordDataCentreRestored("dc1", kStart);
   single_box.slow_start.RecordWarmUp("a", milliseconds(0),
@@ -90,7 +92,7 @@
                                            kStart + milliseconds(3000)));
 }
 
-TEST_CASE("what no longer limits is forgotten, what does is kept") {
+TEST_CASE("expiry keeps the state that still limits sends") {
   SingleBox single_box;
   single_box.slow_start.RecordWarmUp("a", milliseconds(3000), kStart);
   CHECK(single_box.CountAllowed(kStart + milliseconds(2500)) == 2);
@@ -112,8 +114,8 @@
   CHECK(SlowStart::ComputeQuota(0.2, 65).requests_per_sender == 1);
 }
 
-// The worst of some seeds: requests in a second at one cold endpoint, and all
-// that no endpoint could take.
+// Returns the worst result of several seeds: the maximum requests per second at
+// one cold endpoint, and the sum of refused requests.
 RestoreResult RunRendezvousSenders(const SimulatedFleet& fleet) {
   RestoreResult worst;
   for (uint64_t seed = 1; seed <= 5; ++seed) {
@@ -126,9 +128,10 @@
   return worst;
 }
 
-// The load that the limit is for: a quarter of a pool returns, while a hot
-// prompt makes up 4 in 100 of the requests.
-TEST_CASE("without a limit a data centre's return breaks a cold endpoint") {
+// The limit is needed when a quarter of a pool is restored while 4 in 100
+// requests have the same hot prompt.
+TEST_CASE(
+    "without a limit a restored data centre's cold endpoints are overloaded") {
   SimulatedFleet fleet;
   for (uint64_t seed = 1; seed <= 5; ++seed) {
     UnlimitedSends unlimited;
@@ -138,7 +141,7 @@
   }
 }
 
-TEST_CASE("a data centre's return stays within what cold endpoints bear") {
+TEST_CASE("a restored data centre's cold endpoints stay within their rate") {
   for (size_t boxes : {6, 20, 65, 200}) {
     SimulatedFleet fleet;
     fleet.boxes = boxes;
@@ -148,7 +151,7 @@
   }
 }
 
-TEST_CASE("few cold endpoints in a large fleet stay within it as well") {
+TEST_CASE("few cold endpoints in a large fleet stay within their rate") {
   SimulatedFleet fleet;
   fleet.boxes = 200;
   fleet.cold_endpoints = 2;
@@ -157,7 +160,8 @@
         kRatePerSecond);
 }
 
-TEST_CASE("boxes that know the fleet in part don't break cold endpoints") {
+TEST_CASE(
+    "boxes with a partial view of the fleet don't overload cold endpoints") {
   SimulatedFleet fleet;
   fleet.stale_box_share = 0.2;
   fleet.unknown_to_stale_share = 0.5;
