--- a/leverwick/time.h
+++ b/leverwick/time.h
@@ -19,8 +19,8 @@
 // are only compared with a tolerance of minutes.
 using WallTime = std::chrono::system_clock::time_point;
 
-// Returns the time since the Unix epoch, the form in which records and messages
-// hold wall-clock times.
+// Returns the time since the Unix epoch (1970), the form in which records and
+// messages hold wall-clock times.
 inline milliseconds SinceEpoch(WallTime time) {
   return std::chrono::duration_cast<milliseconds>(time.time_since_epoch());
 }
