--- a/leverwick/fair_queue.h
+++ b/leverwick/fair_queue.h
@@ -75,8 +75,8 @@
   size_t running() const { return running_.size(); }
   size_t waiting() const { return waiters_.size(); }
 
-  // Expected time until a new request would start, from the mean time a place
-  // was held.
+  // Returns the expected time until a new request would start, given the mean
+  // run time of the requests.
   nanoseconds ExpectedWait(nanoseconds mean_run_time) const;
 
  private:
