--- a/daemon/relayed_request_log.cc
+++ b/daemon/relayed_request_log.cc
@@ -92,7 +92,7 @@
 }
 
 void RelayedRequest::TellTryEnd(AttemptOutcome outcome, NextStep step) {
-  auto retries_left = static_cast<int>(relay_->BudgetOf(service_)->level());
+  auto retries_left = static_cast<int>(relay_->BudgetOf(service_)->available());
   relay_->metrics_.Add("leverwick_tries_ended_total",
                        std::string("outcome=\"") + NameOf(outcome) + "\"", 1);
   relay_->sampler_.CountLine(Clock::now());
