--- a/daemon/node.h
+++ b/daemon/node.h
@@ -12,13 +12,13 @@
 #include "leverwick/bills.h"
 #include "leverwick/claims.h"
 #include "leverwick/endpoint_pool.h"
-#include "leverwick/freshness.h"
 #include "leverwick/guard.h"
-#include "leverwick/limiter.h"
 #include "leverwick/membership.h"
 #include "leverwick/planner.h"
+#include "leverwick/rate_limiter.h"
 #include "leverwick/retry_budget.h"
 #include "leverwick/table.h"
+#include "leverwick/table_freshness.h"
 #include "leverwick/version_estimates.h"
 #include "net/endpoint_client.h"
 #include "net/metrics.h"
@@ -45,12 +45,12 @@
   const DaemonSettings settings;
   const std::string life;
   TableHolder tables;
-  Freshness freshness;
+  TableFreshness freshness;
   Membership membership;
   EndpointPool endpoints;
   VersionEstimates estimates;
   Guard guard;
-  Limiter limiter;
+  RateLimiter limiter;
   Planner planner;
   RetryBudget retries;
   BillQueue bills;
--- a/leverwick/engine_loads.cc
+++ b/leverwick/engine_loads.cc
@@ -134,7 +134,7 @@
 Seconds EngineLoads::PendingPrefill(const std::string& endpoint) const {
   auto found = endpoints_.find(endpoint);
   Seconds own(found == endpoints_.end() ? 0 : found->second.prefill_seconds);
-  return own + peer_prompts_.ReadingAt(endpoint);
+  return own + peer_prompts_.PendingPrefillAt(endpoint);
 }
 
 uint64_t EngineLoads::RecordSend(const std::string& endpoint,
@@ -162,26 +162,26 @@
   SentPrompt sent;
   sent.ticket = ticket;
   sent.endpoint = pending_.at(ticket).endpoint;
-  sent.reading = ExpectedPrefill(ticket);
+  sent.prefill_time = ExpectedPrefill(ticket);
   auto& cached = endpoints_[sent.endpoint].cached_parts;
   for (const PromptPart& part : *work.prompt) {
     uint64_t key = PartKey(work.model, part.id);
     cached[key] = now;
-    sent.parts.push_back(key);
+    sent.part_keys.push_back(key);
   }
   // The last part is specific to the request, so other boxes' prompts never
   // share it.
-  if (!sent.parts.empty()) sent.parts.pop_back();
+  if (!sent.part_keys.empty()) sent.part_keys.pop_back();
   if (observer_ == nullptr) return;
   pending_.at(ticket).observer_notified = true;
   observer_->OnPromptSent(sent);
 }
 
 void EngineLoads::RecordPeerSend(const SentPrompt& prompt, TimePoint now) {
-  peer_prompts_.Sent(prompt, now);
-  if (prompt.parts.empty()) return;
+  peer_prompts_.RecordSend(prompt, now);
+  if (prompt.part_keys.empty()) return;
   auto& cached = endpoints_[prompt.endpoint].cached_parts;
-  for (uint64_t part : prompt.parts) cached[part] = now;
+  for (uint64_t part : prompt.part_keys) cached[part] = now;
 }
 
 Seconds EngineLoads::ExpectedPrefill(uint64_t ticket) const {
--- a/leverwick/engine_loads.h
+++ b/leverwick/engine_loads.h
@@ -97,7 +97,7 @@
   void RecordPeerSend(const SentPrompt& prompt, TimePoint now);
   // Records that the prefill of a peer's prompt is done or was abandoned.
   void RecordPeerPrefill(uint32_t incarnation, uint64_t ticket) {
-    peer_prompts_.Read(incarnation, ticket);
+    peer_prompts_.RecordPrefillDone(incarnation, ticket);
   }
 
   // Removes cached parts that have expired, and idle endpoints.
--- a/leverwick/testing/endpoint_selector_test.cc
+++ b/leverwick/testing/endpoint_selector_test.cc
@@ -187,11 +187,11 @@
   site.slow_start.SetBoxes({});
   site.slow_start.SetLimits({{"service", {2, std::chrono::seconds(3)}}});
   site.pool.SetListed({Listed("a", "dc1")}, kStart);
-  site.slow_start.Told("a", milliseconds(2500), kStart);
+  site.slow_start.RecordWarmUp("a", milliseconds(2500), kStart);
   EndpointCriteria criteria = MakeCriteria(nullptr, 0);
   for (int i = 0; i < 2; ++i) {
     CHECK(site.selector.Select(criteria, kStart) == "a");
-    site.slow_start.Sent("a", kStart);
+    site.slow_start.RecordSend("a", kStart);
   }
   TimePoint later = kStart + milliseconds(300);
   CHECK(site.selector.Select(criteria, later).empty());
