--- a/bench/poison.cc
+++ b/bench/poison.cc
@@ -35,16 +35,16 @@
 Mean PlaySeeds(const Way& way, size_t boxes, bool holds) {
   PoisonSimulationConfig fleet;
   fleet.boxes = boxes;
-  fleet.holds = holds;
-  fleet.poison = way.a_second;
-  fleet.bodies = way.bodies;
-  fleet.ends_one_in = way.ends_one_in;
-  fleet.silent = way.silent;
-  fleet.time = std::chrono::minutes(5);
+  fleet.quarantines = holds;
+  fleet.poison_rate = way.a_second;
+  fleet.poison_bodies = way.bodies;
+  fleet.runs_per_crash = way.ends_one_in;
+  fleet.crashes_silently = way.silent;
+  fleet.duration = std::chrono::minutes(5);
   Mean mean;
   for (unsigned seed = 1; seed <= kSeeds; ++seed) {
     PoisonSimulationResult played = PoisonSimulation(fleet, seed).Run();
-    mean.ends += static_cast<double>(played.poison_ends) / kSeeds;
+    mean.ends += static_cast<double>(played.poison_crashes) / kSeeds;
     mean.served += static_cast<double>(played.others_served) /
                    static_cast<double>(played.others) / kSeeds;
   }
--- a/leverwick/testing/poison_simulation.h
+++ b/leverwick/testing/poison_simulation.h
@@ -1,9 +1,10 @@
-// Plays a fleet of boxes before endpoints that end: by chance, or under a
-// request that comes again and again at any box. No sockets, no clock; a seed
-// decides everything. Time goes on in steps of ten milliseconds.
+// Simulates a fleet of boxes in front of endpoints that crash, either at random
+// or while running a poison request that arrives repeatedly at any box. There
+// are no sockets and no clock: the outcome depends only on the seed. Simulated
+// time advances in steps of ten milliseconds.
 //
-//   PoisonSimulation play(fleet, seed);
-//   PoisonSimulationResult result = play.Run();
+//   PoisonSimulation simulation(config, seed);
+//   PoisonSimulationResult result = simulation.Run();
 
 #ifndef LEVERWICK_TESTING_POISON_SIMULATION_H_
 #define LEVERWICK_TESTING_POISON_SIMULATION_H_
@@ -19,44 +20,46 @@
 
 namespace leverwick {
 
+// Rates are per second.
 struct PoisonSimulationConfig {
   size_t boxes = 7;
   size_t endpoints = 12;
-  bool holds = true;        // false: as without any memory
-  double others = 90;       // requests a second, all different
-  double popular = 20;      // a second, all the same
-  double poison = 2;        // a second
-  size_t bodies = 1;        // different ones among these
-  size_t ends_one_in = 1;   // of its runs ends its endpoint
-  bool silent = false;      // ends without closing a connection
-  double chance_ends = 0;   // of endpoints, a second
-  milliseconds news{150};   // until a box's note has reached the others
-  milliseconds down{3000};  // of an endpoint
-  std::chrono::seconds time{40};
+  bool quarantines = true;          // false: poison requests are always sent
+  double other_rate = 90;           // of requests that all differ
+  double popular_rate = 20;         // of one request that crashes nothing
+  double poison_rate = 2;           // of poison requests
+  size_t poison_bodies = 1;         // different bodies of poison requests
+  size_t runs_per_crash = 1;        // one in so many poison runs crashes
+  bool crashes_silently = false;    // without closing a connection
+  double random_crash_rate = 0;     // of endpoints
+  milliseconds report_delay{150};   // until a box's report reaches the others
+  milliseconds restart_time{3000};  // of an endpoint
+  std::chrono::seconds duration{40};
 };
 
 struct PoisonSimulationResult {
-  size_t poison_ends = 0;  // endpoints that ended under it
-  size_t poison_late = 0;  // sends later than three seconds after the third
-  size_t popular = 0, popular_served = 0, popular_held = 0;
-  size_t others = 0, others_served = 0, others_held = 0;
+  size_t poison_crashes = 0;  // endpoints that crashed under poison requests
+  // Poison requests sent more than three seconds after the third crash.
+  size_t late_attempts = 0;
+  size_t popular = 0, popular_served = 0, popular_quarantined = 0;
+  size_t others = 0, others_served = 0, others_quarantined = 0;
 };
 
 class PoisonSimulation {
  public:
-  PoisonSimulation(const PoisonSimulationConfig& fleet, unsigned seed)
-      : fleet_(fleet), random_(seed), endpoints_(fleet.endpoints) {
-    for (size_t i = 0; i < fleet.boxes; ++i) {
+  PoisonSimulation(const PoisonSimulationConfig& config, unsigned seed)
+      : config_(config), random_(seed), endpoints_(config.endpoints) {
+    for (size_t i = 0; i < config.boxes; ++i) {
       boxes_.push_back(std::make_unique<Box>("box-" + std::to_string(i)));
     }
   }
 
   PoisonSimulationResult Run() {
-    for (now_ = kStart; now_ < kStart + fleet_.time; now_ += kStep) {
-      Arrive();
-      EndEndpoints();
-      EndRuns();
-      TellNews();
+    for (now_ = kStart; now_ < kStart + config_.duration; now_ += kStep) {
+      GenerateArrivals();
+      CrashEndpoints();
+      CompleteRuns();
+      ExchangeReports();
     }
     return result_;
   }
@@ -64,9 +67,9 @@
  private:
   static constexpr TimePoint kStart{std::chrono::hours(10)};
   static constexpr milliseconds kStep{10};
-  static constexpr milliseconds kContact{3000};
+  static constexpr milliseconds kReportDeadline{3000};
   static constexpr milliseconds kWriteInterval{300};
-  static constexpr int kMostTries = 3;
+  static constexpr int kMaxAttempts = 3;
 
   enum class Kind { kOther, kPopular, kPoison };
 
@@ -74,194 +77,204 @@
     explicit Box(const std::string& name) : poison(name) {}
     PoisonRequests poison;
     RecentRuns runs;
-    TimePoint write_after{};
-    bool due = false;
+    TimePoint next_report_at{};
+    bool report_pending = false;
   };
   struct Endpoint {
-    size_t life = 0;
-    TimePoint up_from{};
-    TimePoint ends_at = TimePoint::max();
-    bool by_poison = false;
+    size_t incarnation = 0;
+    TimePoint up_at{};
+    TimePoint crashes_at = TimePoint::max();
+    bool crashed_by_poison = false;
   };
-  struct Try {
+  struct Attempt {
     Kind kind = Kind::kOther;
     RequestDigest digest;
     size_t box = 0;
     size_t endpoint = 0;
-    size_t life = 0;
+    size_t incarnation = 0;
     uint64_t run = 0;
-    int tries = 0;
-    TimePoint done_at{};
+    int number = 0;
+    TimePoint completes_at{};
   };
-  struct Note {
-    TimePoint at{};
+  struct Report {
+    TimePoint arrives_at{};
     TimePoint written_at{};
     size_t from = 0;
     PoisonNotes notes;
   };
 
-  std::string NameOf(size_t endpoint) const {
+  std::string IncarnationName(size_t endpoint) const {
     return std::to_string(endpoint) + "/" +
-           std::to_string(endpoints_[endpoint].life);
+           std::to_string(endpoints_[endpoint].incarnation);
   }
-  // What a box sees by a connection that is still open.
-  bool Lives(const std::string& name) const {
+  // Returns whether a connection to this incarnation would still be open.
+  bool IsUp(const std::string& name) const {
     size_t endpoint = std::stoul(name);
-    return NameOf(endpoint) == name && endpoints_[endpoint].up_from <= now_;
+    return IncarnationName(endpoint) == name &&
+           endpoints_[endpoint].up_at <= now_;
   }
-  bool Happens(double a_second) {
-    double share = a_second * ToSeconds(kStep);
+  bool HappensNow(double rate) {
+    double share = rate * ToSeconds(kStep);
     return std::uniform_real_distribution<>(0, 1)(random_) < share;
   }
 
-  void Arrive() {
-    if (Happens(fleet_.poison)) {
-      // A fleet with one body draws nothing for it: its seeds play as before.
-      size_t body = fleet_.bodies > 1 ? random_() % fleet_.bodies : 0;
-      Begin(Kind::kPoison, "poison-" + std::to_string(body));
+  void GenerateArrivals() {
+    if (HappensNow(config_.poison_rate)) {
+      // Draws no random number for a single body, so that the existing seeds
+      // give the same sequences.
+      size_t body =
+          config_.poison_bodies > 1 ? random_() % config_.poison_bodies : 0;
+      StartRequest(Kind::kPoison, "poison-" + std::to_string(body));
     }
-    if (Happens(fleet_.popular)) Begin(Kind::kPopular, "popular");
-    if (Happens(fleet_.others)) {
-      Begin(Kind::kOther, "other-" + std::to_string(result_.others));
+    if (HappensNow(config_.popular_rate))
+      StartRequest(Kind::kPopular, "popular");
+    if (HappensNow(config_.other_rate)) {
+      StartRequest(Kind::kOther, "other-" + std::to_string(result_.others));
     }
-    if (!Happens(fleet_.chance_ends)) return;
+    if (!HappensNow(config_.random_crash_rate)) return;
     Endpoint& endpoint = endpoints_[random_() % endpoints_.size()];
-    if (endpoint.up_from <= now_) endpoint.ends_at = now_;
+    if (endpoint.up_at <= now_) endpoint.crashes_at = now_;
   }
 
-  void Begin(Kind kind, const std::string& body) {
+  void StartRequest(Kind kind, const std::string& body) {
     if (kind == Kind::kPopular) ++result_.popular;
     if (kind == Kind::kOther) ++result_.others;
-    Try begun;
-    begun.kind = kind;
-    begun.digest = ComputeRequestDigest({"a", "/x", "t", body});
-    begun.box = random_() % boxes_.size();
-    Send(begun);
+    Attempt attempt;
+    attempt.kind = kind;
+    attempt.digest = ComputeRequestDigest({"a", "/x", "t", body});
+    attempt.box = random_() % boxes_.size();
+    Send(attempt);
   }
 
-  void Send(Try sent) {
-    Box& box = *boxes_[sent.box];
-    auto listed = [](const std::string&) { return true; };
-    PoisonVerdict verdict = box.poison.Evaluate(sent.digest, "", listed, now_);
-    if (fleet_.holds && verdict.kind == PoisonVerdict::Kind::kQuarantine) {
-      if (sent.kind == Kind::kPopular) ++result_.popular_held;
-      if (sent.kind == Kind::kOther) ++result_.others_held;
+  void Send(Attempt attempt) {
+    Box& box = *boxes_[attempt.box];
+    auto is_listed = [](const std::string&) { return true; };
+    PoisonVerdict verdict =
+        box.poison.Evaluate(attempt.digest, "", is_listed, now_);
+    if (config_.quarantines &&
+        verdict.kind == PoisonVerdict::Kind::kQuarantine) {
+      if (attempt.kind == Kind::kPopular) ++result_.popular_quarantined;
+      if (attempt.kind == Kind::kOther) ++result_.others_quarantined;
       return;
     }
-    bool trial = verdict.kind == PoisonVerdict::Kind::kTrial;
-    if (trial) box.poison.RecordTrial(sent.digest, now_);
+    bool is_trial = verdict.kind == PoisonVerdict::Kind::kTrial;
+    if (is_trial) box.poison.RecordTrial(attempt.digest, now_);
     size_t from = random_() % endpoints_.size();
     for (size_t i = 0; i < endpoints_.size(); ++i) {
-      size_t at = (from + i) % endpoints_.size();
-      if (endpoints_[at].up_from > now_) continue;
-      sent.endpoint = at;
-      sent.life = endpoints_[at].life;
-      sent.tries = trial ? kMostTries : sent.tries + 1;
-      sent.run = box.runs.RecordStart(sent.digest, NameOf(at), "v1", now_);
-      sent.done_at = now_ + milliseconds(100 + random_() % 400);
-      if (sent.kind == Kind::kPoison) RunPoison(&endpoints_[at]);
-      tries_.push_back(sent);
+      size_t candidate = (from + i) % endpoints_.size();
+      if (endpoints_[candidate].up_at > now_) continue;
+      attempt.endpoint = candidate;
+      attempt.incarnation = endpoints_[candidate].incarnation;
+      attempt.number = is_trial ? kMaxAttempts : attempt.number + 1;
+      attempt.run = box.runs.RecordStart(
+          attempt.digest, IncarnationName(candidate), "v1", now_);
+      attempt.completes_at = now_ + milliseconds(100 + random_() % 400);
+      if (attempt.kind == Kind::kPoison) StartPoisonRun(&endpoints_[candidate]);
+      attempts_.push_back(attempt);
       return;
     }
   }
 
-  void RunPoison(Endpoint* endpoint) {
-    if (third_end_ && now_ > *third_end_ + kContact) ++result_.poison_late;
-    if (++poison_runs_ % fleet_.ends_one_in != 0) return;
-    TimePoint ends_at = now_ + milliseconds(40 + random_() % 80);
-    if (ends_at >= endpoint->ends_at) return;
-    endpoint->ends_at = ends_at;
-    endpoint->by_poison = true;
+  void StartPoisonRun(Endpoint* endpoint) {
+    if (third_crash_at_ && now_ > *third_crash_at_ + kReportDeadline)
+      ++result_.late_attempts;
+    if (++poison_runs_ % config_.runs_per_crash != 0) return;
+    TimePoint crashes_at = now_ + milliseconds(40 + random_() % 80);
+    if (crashes_at >= endpoint->crashes_at) return;
+    endpoint->crashes_at = crashes_at;
+    endpoint->crashed_by_poison = true;
   }
 
-  void EndEndpoints() {
+  void CrashEndpoints() {
     for (size_t i = 0; i < endpoints_.size(); ++i) {
       Endpoint& endpoint = endpoints_[i];
-      if (endpoint.ends_at > now_) continue;
-      if (endpoint.by_poison && ++result_.poison_ends == 3) third_end_ = now_;
-      BreakRuns(i);
-      endpoint = {endpoint.life + 1, now_ + fleet_.down};
+      if (endpoint.crashes_at > now_) continue;
+      if (endpoint.crashed_by_poison && ++result_.poison_crashes == 3)
+        third_crash_at_ = now_;
+      DisconnectRuns(i);
+      endpoint = {endpoint.incarnation + 1, now_ + config_.restart_time};
     }
   }
 
-  // Boxes whose calls break notice the end; the calls are sent once more.
-  void BreakRuns(size_t endpoint) {
-    std::string name = NameOf(endpoint);
-    std::vector<Try> broken;
-    for (auto entry = tries_.begin(); entry != tries_.end();) {
-      bool here = entry->endpoint == endpoint;
-      if (here) broken.push_back(*entry);
-      entry = here ? tries_.erase(entry) : std::next(entry);
+  // Boxes whose calls are disconnected detect the crash and retry the calls.
+  void DisconnectRuns(size_t endpoint) {
+    std::string name = IncarnationName(endpoint);
+    std::vector<Attempt> disconnected;
+    for (auto entry = attempts_.begin(); entry != attempts_.end();) {
+      bool is_affected = entry->endpoint == endpoint;
+      if (is_affected) disconnected.push_back(*entry);
+      entry = is_affected ? attempts_.erase(entry) : std::next(entry);
     }
-    // What falls silent is given up when its time is over; no box learns of an
-    // end.
-    if (fleet_.silent) return;
-    for (const Try& one : broken) {
-      Box& box = *boxes_[one.box];
+    // A silent crash closes no connection: its runs time out, and no box
+    // detects the crash.
+    if (config_.crashes_silently) return;
+    for (const Attempt& attempt : disconnected) {
+      Box& box = *boxes_[attempt.box];
       box.poison.RecordCrash(box.runs.TakeCrashSuspects(name, now_), now_);
     }
-    endpoints_[endpoint].up_from = now_ + fleet_.down;
-    for (const Try& one : broken) {
-      if (one.tries < kMostTries) Send(one);
+    endpoints_[endpoint].up_at = now_ + config_.restart_time;
+    for (const Attempt& attempt : disconnected) {
+      if (attempt.number < kMaxAttempts) Send(attempt);
     }
   }
 
-  void EndRuns() {
-    for (auto entry = tries_.begin(); entry != tries_.end();) {
-      if (entry->done_at > now_) {
+  void CompleteRuns() {
+    for (auto entry = attempts_.begin(); entry != attempts_.end();) {
+      if (entry->completes_at > now_) {
         ++entry;
         continue;
       }
       Box& box = *boxes_[entry->box];
-      box.runs.RecordEnd(NameOf(entry->endpoint), entry->run,
+      box.runs.RecordEnd(IncarnationName(entry->endpoint), entry->run,
                          RunOutcome::kComplete, now_);
       if (entry->kind == Kind::kPopular) ++result_.popular_served;
       if (entry->kind == Kind::kOther) ++result_.others_served;
-      entry = tries_.erase(entry);
+      entry = attempts_.erase(entry);
     }
   }
 
-  void TellNews() {
+  void ExchangeReports() {
     for (size_t i = 0; i < boxes_.size(); ++i) {
       Box& box = *boxes_[i];
-      auto is_alive = [this](const std::string& name) { return Lives(name); };
+      auto is_alive = [this](const std::string& name) { return IsUp(name); };
       for (const EndpointRun& run : box.runs.TakeSurvivedRuns(is_alive, now_)) {
         box.poison.RecordSurvivedRun(run, now_);
       }
-      box.due = box.poison.TakeChangeFlag() || box.due;
-      if (!box.due || now_ < box.write_after) continue;
-      box.due = false;
-      box.write_after = now_ + kWriteInterval;
-      notes_.push_back({now_ + fleet_.news, now_, i,
-                        box.poison.BuildNotes(now_, WallTime{})});
+      box.report_pending = box.poison.TakeChangeFlag() || box.report_pending;
+      if (!box.report_pending || now_ < box.next_report_at) continue;
+      box.report_pending = false;
+      box.next_report_at = now_ + kWriteInterval;
+      reports_.push_back({now_ + config_.report_delay, now_, i,
+                          box.poison.BuildNotes(now_, WallTime{})});
     }
-    while (!notes_.empty() && notes_.front().at <= now_) {
-      Hear(notes_.front());
-      notes_.pop_front();
+    while (!reports_.empty() && reports_.front().arrives_at <= now_) {
+      ApplyReport(reports_.front());
+      reports_.pop_front();
     }
   }
 
-  void Hear(const Note& note) {
+  void ApplyReport(const Report& report) {
     for (size_t i = 0; i < boxes_.size(); ++i) {
-      if (i == note.from) continue;
+      if (i == report.from) continue;
       Box& box = *boxes_[i];
-      // As old as its way was long, which a box does not know.
+      // The age of the report is the time it was in transit, which the
+      // receiving box does not know.
       for (const auto& [endpoint, at] :
-           box.poison.Merge(note.notes, now_, false)) {
+           box.poison.Merge(report.notes, now_, false)) {
         if (box.runs.HasRunInFlightAt(endpoint, at)) continue;
         box.poison.RecordCrash(box.runs.TakeCrashSuspects(endpoint, at), at);
       }
     }
   }
 
-  const PoisonSimulationConfig fleet_;
+  const PoisonSimulationConfig config_;
   std::mt19937 random_;
   std::vector<Endpoint> endpoints_;
   std::vector<std::unique_ptr<Box>> boxes_;
-  std::list<Try> tries_;
-  std::list<Note> notes_;
+  std::list<Attempt> attempts_;
+  std::list<Report> reports_;
   TimePoint now_{};
-  std::optional<TimePoint> third_end_;
+  std::optional<TimePoint> third_crash_at_;
   size_t poison_runs_ = 0;
   PoisonSimulationResult result_;
 };
