--- a/leverwick/testing/decisions_test.cc
+++ b/leverwick/testing/decisions_test.cc
@@ -1,4 +1,5 @@
-// Routing, estimates, planner and guard.
+// Tests of version routing, estimates, the planner, the canary check of
+// roll-outs and session ids.
 
 #include <doctest/doctest.h>
 
@@ -14,18 +15,19 @@
 namespace leverwick {
 namespace {
 
-TEST_CASE("sums go often while small, and within a rate of bytes when large") {
+TEST_CASE("sums are sent often if small, and at a bounded byte rate if large") {
   CHECK(SumsInterval(100, 3) == Seconds(5));
   CHECK(SumsInterval(0, 0) == Seconds(5));
-  constexpr size_t kLives = 26;
-  constexpr size_t kSumsOfALife = 78;  // 13 versions, 6 classes
-  constexpr size_t kBytesOfASum = 100;
-  constexpr size_t kLarge = kLives * kSumsOfALife * kBytesOfASum;
-  double seconds = SumsInterval(kLarge, 3).count();
-  CHECK(static_cast<double>(kLarge) * 3 / seconds <= 1000);
+  constexpr size_t kIncarnations = 26;
+  constexpr size_t kSumsPerIncarnation = 78;  // 13 versions, 6 classes
+  constexpr size_t kBytesPerSum = 100;
+  constexpr size_t kTotalBytes =
+      kIncarnations * kSumsPerIncarnation * kBytesPerSum;
+  double seconds = SumsInterval(kTotalBytes, 3).count();
+  CHECK(static_cast<double>(kTotalBytes) * 3 / seconds <= 1000);
 }
 
-TEST_CASE("candidates are just the versions that may serve") {
+TEST_CASE("the candidates are exactly the versions that may serve") {
   TableBuilder site = TableBuilder::Site();
   const char* const states[] = {"stable", "candidate", "draining", "withdrawn"};
   std::mt19937 random(3);
@@ -49,13 +51,13 @@
     for (const Version* version : table.versions()) {
       bool found = std::find(candidates.begin(), candidates.end(), version) !=
                    candidates.end();
-      // There are no roll-outs here, so the two must agree exactly.
+      // Without roll-outs, the two functions must agree exactly.
       REQUIRE(found == MayServe(table, request, *version));
     }
   }
 }
 
-TEST_CASE("a roll-out takes its share, the same on every box, until tripped") {
+TEST_CASE("a roll-out gets its share of sessions until it is tripped") {
   TableBuilder site = TableBuilder::Site();
   site.Add("version",
            {{"model", "swift"}, {"version", "2"}, {"state", "candidate"}});
@@ -67,19 +69,19 @@
   const Table& table = site.table();
   const Organisation& acme = *table.FindOrganisation("acme");
   const Version& from = *table.FindVersion("swift", "1");
-  int taken = 0;
+  int sessions_taken = 0;
   bool tripped = false;
   auto is_tripped = [&tripped](const std::string&) { return tripped; };
   const Rollout* applied = nullptr;
   for (int i = 0; i < 5000; ++i) {
-    taken += ApplyRollouts(table, acme, from, "s" + std::to_string(i),
-                           is_tripped, &applied) != nullptr
-                 ? 1
-                 : 0;
+    sessions_taken += ApplyRollouts(table, acme, from, "s" + std::to_string(i),
+                                    is_tripped, &applied) != nullptr
+                          ? 1
+                          : 0;
   }
-  CHECK(taken > 900);
-  CHECK(taken < 1100);
-  // globex is not allowed version 2.
+  CHECK(sessions_taken > 900);
+  CHECK(sessions_taken < 1100);
+  // The organisation globex may not use version 2.
   const Organisation& globex = *table.FindOrganisation("globex");
   tripped = true;
   for (int i = 0; i < 200; ++i) {
@@ -95,31 +97,31 @@
   }
 }
 
-TEST_CASE("sums of lives add up, whatever the order and the repeats") {
+TEST_CASE("sums of incarnations add up in any order and with repeats") {
   Estimates a("a");
   Estimates b("b");
-  Estimates both("c");
+  Estimates merged("c");
   Observation observation;
   observation.latency = Seconds(0.5);
   observation.completion_tokens = 10;
-  std::vector<LifeSums> seen;
+  std::vector<LifeSums> sent;
   for (int i = 0; i < 30; ++i) {
     (i % 3 == 0 ? a : b).Answered("swift@1", 0, observation);
     (i % 3 == 0 ? a : b).Rated("swift@1", 0, true, 0.5);
-    seen.push_back(a.own());
-    seen.push_back(b.own());
+    sent.push_back(a.own());
+    sent.push_back(b.own());
   }
   std::mt19937 random(5);
-  std::shuffle(seen.begin(), seen.end(), random);
-  for (const LifeSums& sums : seen) both.Merge(sums);
-  VersionView view = both.View("swift@1", 0);
+  std::shuffle(sent.begin(), sent.end(), random);
+  for (const LifeSums& sums : sent) merged.Merge(sums);
+  VersionView view = merged.View("swift@1", 0);
   CHECK(view.answers == 30);
   CHECK(view.ratings == 30);
   CHECK(view.rating_mean == doctest::Approx(0.5));
   CHECK(view.completion_tokens_mean == doctest::Approx(10));
 }
 
-TEST_CASE("the planner meets the target with the cheaper version's help") {
+TEST_CASE("the planner meets the quality target at a lower cost") {
   TableBuilder site;
   site.Add("data_centre", {{"name", "dc1"}})
       .Add("version", {{"model", "cheap"},
@@ -144,8 +146,8 @@
   }
   Planner planner(&estimates);
   std::vector<const Version*> candidates = site.table().versions();
-  double quality[2] = {0, 0};
-  int strong_on[2] = {0, 0};
+  double quality_sums[2] = {0, 0};
+  int strong_counts[2] = {0, 0};
   constexpr int kRequests = 4000;
   for (int i = 0; i < kRequests; ++i) {
     PlanRequest request;
@@ -155,16 +157,16 @@
     request.streamed = true;
     Plan plan = planner.Choose(request, candidates);
     if (i < kRequests / 2) continue;
-    quality[i % 2] += plan.expected_quality;
-    strong_on[i % 2] += plan.first->model() == "strong" ? 1 : 0;
+    quality_sums[i % 2] += plan.expected_quality;
+    strong_counts[i % 2] += plan.first->model() == "strong" ? 1 : 0;
   }
-  double mean = (quality[0] + quality[1]) / (0.5 * kRequests);
-  CHECK(mean > 0.79);
-  CHECK(mean < 0.86);
-  CHECK(strong_on[1] > 5 * strong_on[0]);
+  double mean_quality = (quality_sums[0] + quality_sums[1]) / (0.5 * kRequests);
+  CHECK(mean_quality > 0.79);
+  CHECK(mean_quality < 0.86);
+  CHECK(strong_counts[1] > 5 * strong_counts[0]);
 }
 
-VersionView GoodBaseline() {
+VersionView HealthyBaseline() {
   VersionView view;
   view.answers = 1000;
   view.errors = 10;
@@ -176,40 +178,41 @@
   return view;
 }
 
-TEST_CASE("the guard stops what got worse and not what is as good") {
+TEST_CASE("the canary check trips on regressions only") {
   std::mt19937 random(11);
   std::normal_distribution<double> noise(0, 1);
-  auto answers_until = [&](double errors, double latency, double rating) {
+  auto responses_until_trip = [&](double errors, double latency,
+                                  double rating) {
     Guard guard("a");
     for (int i = 0; i < 3000; ++i) {
       Observation observation;
       observation.error = std::generate_canonical<double, 32>(random) < errors;
       observation.latency =
           Seconds(latency * std::exp(noise(random) * std::sqrt(0.1)));
-      guard.Answered("r", GuardLimits(), GoodBaseline(), observation);
-      guard.Rated("r", GuardLimits(), GoodBaseline(),
+      guard.Answered("r", GuardLimits(), HealthyBaseline(), observation);
+      guard.Rated("r", GuardLimits(), HealthyBaseline(),
                   rating + noise(random) * std::sqrt(0.02));
       if (guard.Tripped("r", nullptr)) return i;
     }
     return -1;
   };
-  CHECK(answers_until(0.01, 0.5, 0.85) == -1);
-  CHECK(answers_until(0.5, 0.5, 0.85) >= 0);
-  CHECK(answers_until(0.5, 0.5, 0.85) < 40);
-  CHECK(answers_until(0.01, 1.2, 0.85) >= 0);
-  CHECK(answers_until(0.01, 1.2, 0.85) < 100);
-  CHECK(answers_until(0.01, 0.5, 0.6) >= 0);
-  CHECK(answers_until(0.01, 0.5, 0.6) < 100);
+  CHECK(responses_until_trip(0.01, 0.5, 0.85) == -1);
+  CHECK(responses_until_trip(0.5, 0.5, 0.85) >= 0);
+  CHECK(responses_until_trip(0.5, 0.5, 0.85) < 40);
+  CHECK(responses_until_trip(0.01, 1.2, 0.85) >= 0);
+  CHECK(responses_until_trip(0.01, 1.2, 0.85) < 100);
+  CHECK(responses_until_trip(0.01, 0.5, 0.6) >= 0);
+  CHECK(responses_until_trip(0.01, 0.5, 0.6) < 100);
 }
 
-TEST_CASE("evidence of several boxes adds up, and a trip stays") {
+TEST_CASE("observations of several boxes add up, and a trip is permanent") {
   Guard a("a");
   Guard b("b");
   Observation bad;
   bad.error = true;
   for (int i = 0; i < 5; ++i) {
-    a.Answered("r", GuardLimits(), GoodBaseline(), bad);
-    b.Answered("r", GuardLimits(), GoodBaseline(), bad);
+    a.Answered("r", GuardLimits(), HealthyBaseline(), bad);
+    b.Answered("r", GuardLimits(), HealthyBaseline(), bad);
   }
   CHECK(!a.Tripped("r", nullptr));
   for (const GuardSum& sum : b.own()) a.Merge(sum);
@@ -219,14 +222,14 @@
   Observation good;
   good.latency = Seconds(0.5);
   for (int i = 0; i < 1000; ++i) {
-    a.Answered("r", GuardLimits(), GoodBaseline(), good);
+    a.Answered("r", GuardLimits(), HealthyBaseline(), good);
   }
   CHECK(a.Tripped("r", nullptr));
   b.Trip("r", "told");
   CHECK(b.Tripped("r", nullptr));
 }
 
-TEST_CASE("session ids are read back and can't be forged") {
+TEST_CASE("session ids can be parsed but not forged") {
   SigningKey key;
   key.set_secret("0123456789abcdef");
   SigningKey old;
@@ -243,9 +246,9 @@
   for (size_t i = 0; i < id.size(); ++i) {
     std::string forged = id;
     forged[i] = forged[i] == 'A' ? 'B' : 'A';
-    // The last character's low bits carry nothing in base64.
-    bool same = ReadSessionId({&key}, forged, &pin) && i + 1 < id.size();
-    CHECK(!same);
+    // The low bits of the last base64 character carry no data.
+    bool is_accepted = ReadSessionId({&key}, forged, &pin) && i + 1 < id.size();
+    CHECK(!is_accepted);
   }
 }
 
--- a/leverwick/testing/escalation_policy_test.cc
+++ b/leverwick/testing/escalation_policy_test.cc
@@ -13,12 +13,12 @@
 const TimePoint kStart = TimePoint() + std::chrono::hours(1);
 
 ObservedStream Stream(const char* model, size_t events, double seconds,
-                      bool whole = true) {
-  return {{"chat", model, 0}, events, Seconds(seconds), whole};
+                      bool is_complete = true) {
+  return {{"chat", model, 0}, events, Seconds(seconds), is_complete};
 }
 
-// Fifty streams of ten pauses of a tenth of a second.
-void LearnCalm(EscalationPolicy* escalation) {
+// Records fifty streams with ten intervals of 0.1 s each.
+void RecordWithoutContention(EscalationPolicy* escalation) {
   for (int i = 0; i < 50; ++i) {
     escalation->RecordStream(Stream("large", 11, 1.0), kStart);
   }
@@ -26,59 +26,60 @@
 
 const StreamKind kLarge{"chat", "large", 0};
 
-Seconds SpanOf(const EscalationPolicy& escalation, const StreamKind& kind,
-               TimePoint now) {
+Seconds ExpectedDuration(const EscalationPolicy& escalation,
+                         const StreamKind& kind, TimePoint now) {
   TimeEstimate estimate = escalation.EstimateDuration(kind, now);
   return estimate.base + estimate.contention;
 }
 
-// An answer that begins after a second of reading its own prompt.
-bool FitsIn(const EscalationPolicy& escalation, double left) {
+// Returns whether a response that starts after one second fits the deadline.
+bool Fits(const EscalationPolicy& escalation, double time_left) {
   return escalation.FitsDeadline(kLarge, {Seconds(1), Seconds(0)},
-                                 Seconds(left), kStart);
+                                 Seconds(time_left), kStart);
 }
 
-TEST_CASE("what is not known fits; what is known takes its events' time") {
+TEST_CASE("an unknown kind fits; a known one takes the time of its events") {
   EscalationPolicy escalation;
-  CHECK(FitsIn(escalation, 1.3));
-  LearnCalm(&escalation);
-  CHECK(SpanOf(escalation, kLarge, kStart).count() ==
+  CHECK(Fits(escalation, 1.3));
+  RecordWithoutContention(&escalation);
+  CHECK(ExpectedDuration(escalation, kLarge, kStart).count() ==
         doctest::Approx(1.0).epsilon(0.05));
-  CHECK(FitsIn(escalation, 2.7));
-  CHECK_FALSE(FitsIn(escalation, 1.9));
+  CHECK(Fits(escalation, 2.7));
+  CHECK_FALSE(Fits(escalation, 1.9));
 }
 
-TEST_CASE("an answer's allowed tokens tell its length") {
+TEST_CASE("the token limit determines the expected length of a response") {
   EscalationPolicy escalation;
   ObservedStream stream = Stream("large", 11, 1.0);
   stream.kind.max_tokens = 50;
   for (int i = 0; i < 50; ++i) escalation.RecordStream(stream, kStart);
   StreamKind longer{"chat", "large", 100};
-  double of_fifty = SpanOf(escalation, stream.kind, kStart).count();
-  double of_hundred = SpanOf(escalation, longer, kStart).count();
-  CHECK(of_hundred > 1.9 * of_fifty);
-  CHECK(of_hundred < 2.3 * of_fifty);
+  double fifty_tokens =
+      ExpectedDuration(escalation, stream.kind, kStart).count();
+  double hundred_tokens = ExpectedDuration(escalation, longer, kStart).count();
+  CHECK(hundred_tokens > 1.9 * fifty_tokens);
+  CHECK(hundred_tokens < 2.3 * fifty_tokens);
 }
 
-TEST_CASE("what holds up one kind's streams holds up all; it fades") {
+TEST_CASE("contention seen on one kind of stream applies to all and decays") {
   EscalationPolicy escalation;
-  LearnCalm(&escalation);
+  RecordWithoutContention(&escalation);
   for (int i = 0; i < 50; ++i) {
     escalation.RecordStream(Stream("small", 11, 0.1), kStart);
   }
   TimePoint now = kStart + seconds(10);
-  // Each event comes 0.3 s later than before.
+  // Each event arrives 0.3 s later than before.
   for (int i = 0; i < 8; ++i) {
     escalation.RecordStream(Stream("small", 11, 3.1), now);
   }
   CHECK(escalation.ContentionDelay(now).count() > 0.25);
-  CHECK(SpanOf(escalation, kLarge, now).count() > 3.5);
-  CHECK(SpanOf(escalation, kLarge, now).count() < 4.5);
+  CHECK(ExpectedDuration(escalation, kLarge, now).count() > 3.5);
+  CHECK(ExpectedDuration(escalation, kLarge, now).count() < 4.5);
   TimePoint later = now + seconds(10);
-  CHECK(SpanOf(escalation, kLarge, later).count() < 1.3);
+  CHECK(ExpectedDuration(escalation, kLarge, later).count() < 1.3);
 }
 
-TEST_CASE("a model that was never asked is expected to be held up as well") {
+TEST_CASE("contention applies also to a model without observed streams") {
   EscalationPolicy escalation;
   escalation.RecordStream(Stream("small", 11, 0.1), kStart);
   for (int i = 0; i < 8; ++i) {
@@ -87,148 +88,153 @@
   CHECK_FALSE(escalation.FitsDeadline(kLarge, {}, Seconds(3), kStart));
 }
 
-TEST_CASE("a cut stream shows slowness and never speed") {
+TEST_CASE("a stream that was cut off shows slow events but never fast ones") {
   EscalationPolicy escalation;
-  LearnCalm(&escalation);
-  // A caller left right after the first event.
+  RecordWithoutContention(&escalation);
+  // The caller disconnected right after the first event.
   escalation.RecordStream(Stream("large", 1, 0.01, false), kStart);
   CHECK(escalation.ContentionDelay(kStart).count() ==
         doctest::Approx(0).epsilon(0.01));
-  CHECK(SpanOf(escalation, kLarge, kStart).count() < 1.1);
+  CHECK(ExpectedDuration(escalation, kLarge, kStart).count() < 1.1);
   escalation.RecordStream(Stream("large", 1, 4, false), kStart);
   CHECK(escalation.ContentionDelay(kStart).count() > 0.25);
 }
 
-// One engine under load. It reads prompts one after the other; while it reads,
-// its streams come at a tenth of their pace. Every request asks the small model
-// first; every third answer is weak, and then the large model reads the prompt
-// and answers, if it is asked. Callers leave after six seconds.
+// Simulates one engine under load. It processes prompts one at a time;
+// meanwhile, its streams generate events at a tenth of their rate. Every
+// request goes to the small model first. Every third response is weak; the
+// large model then processes the prompt, if the request is escalated. Callers
+// disconnect after six seconds.
 class Engine {
  public:
   struct Served {
-    int whole = 0;  // by either model
-    int large = 0;
-    int cut = 0;
+    int complete = 0;  // by either model
+    int complete_large = 0;
+    int cut_off = 0;
   };
 
-  Engine(double per_second, bool decides)
-      : decides_(decides), arrives_(per_second * kStep) {}
+  Engine(double requests_per_second, bool escalates_by_policy)
+      : escalates_by_policy_(escalates_by_policy),
+        arrivals_(requests_per_second * kStep) {}
 
-  Served Play(double seconds) {
+  Served Simulate(double seconds) {
     for (double t = 0; t < seconds; t += kStep) {
       now_ = t;
-      if (arrives_(random_)) Ask(false, t, weak_(random_));
-      Read();
-      Stream();
+      if (arrivals_(random_)) SubmitPrompt(false, t, weak_(random_));
+      ProcessPrompt();
+      GenerateEvents();
     }
     return served_;
   }
 
  private:
-  struct Answer {
+  struct Response {
     bool large = false;
     bool weak = false;
-    double asked = 0;     // by its caller
-    double unread = 0;    // seconds
-    double events = 0;    // that have come
-    double began_at = 0;  // with its first event
+    double arrived_at = 0;        // of the request
+    double prompt_time_left = 0;  // seconds
+    double events = 0;            // generated so far
+    double started_at = 0;        // time of the first event
   };
 
   static constexpr double kStep = 0.005;
-  static constexpr double kPatience = 6;
-  static constexpr size_t kEvents = 10;
-  static constexpr double kHeldUp = 0.1;
+  static constexpr double kCallerTimeout = 6;
+  static constexpr size_t kEventsPerResponse = 10;
+  static constexpr double kContentionSpeed = 0.1;
 
-  static double ReadingOf(bool large) { return large ? 0.5 : 0.05; }
-  static double PaceOf(bool large) { return large ? 0.06 : 0.006; }
+  static double PromptTime(bool large) { return large ? 0.5 : 0.05; }
+  static double IntervalOf(bool large) { return large ? 0.06 : 0.006; }
 
-  void Ask(bool large, double asked, bool weak) {
-    reading_.push_back({large, weak, asked, ReadingOf(large), 0, 0});
+  void SubmitPrompt(bool large, double arrived_at, bool weak) {
+    prompts_.push_back({large, weak, arrived_at, PromptTime(large), 0, 0});
   }
 
-  void Read() {
-    held_up_ = !reading_.empty();
-    if (!held_up_) return;
-    reading_.front().unread -= kStep;
-    if (reading_.front().unread > 0) return;
-    Answer answer = reading_.front();
-    reading_.erase(reading_.begin());
-    answer.began_at = now_;
-    bool replaced = answer.weak && !answer.large && MayAskLarge(answer);
-    if (replaced) return Ask(true, answer.asked, true);
-    streams_.push_back(answer);
+  void ProcessPrompt() {
+    processing_prompt_ = !prompts_.empty();
+    if (!processing_prompt_) return;
+    prompts_.front().prompt_time_left -= kStep;
+    if (prompts_.front().prompt_time_left > 0) return;
+    Response response = prompts_.front();
+    prompts_.erase(prompts_.begin());
+    response.started_at = now_;
+    bool escalated = response.weak && !response.large && MayEscalate(response);
+    if (escalated) return SubmitPrompt(true, response.arrived_at, true);
+    streams_.push_back(response);
   }
 
-  bool MayAskLarge(const Answer& answer) const {
-    if (!decides_) return true;
-    double waits = 0;
-    for (const Answer& waiting : reading_) waits += waiting.unread;
-    Seconds left(answer.asked + kPatience - now_);
+  bool MayEscalate(const Response& response) const {
+    if (!escalates_by_policy_) return true;
+    double queue_time = 0;
+    for (const Response& queued : prompts_)
+      queue_time += queued.prompt_time_left;
+    Seconds time_left(response.arrived_at + kCallerTimeout - now_);
     return escalation_.FitsDeadline(
-        kLarge, {Seconds(ReadingOf(true)), Seconds(waits)}, left, Now());
+        kLarge, {Seconds(PromptTime(true)), Seconds(queue_time)}, time_left,
+        Now());
   }
 
-  void Stream() {
-    std::vector<Answer> still;
-    for (Answer& answer : streams_) {
-      double speed = held_up_ ? kHeldUp : 1;
-      answer.events += speed * kStep / PaceOf(answer.large);
-      if (!Ends(answer)) still.push_back(answer);
+  void GenerateEvents() {
+    std::vector<Response> unfinished;
+    for (Response& response : streams_) {
+      double speed = processing_prompt_ ? kContentionSpeed : 1;
+      response.events += speed * kStep / IntervalOf(response.large);
+      if (!Finishes(response)) unfinished.push_back(response);
     }
-    streams_ = std::move(still);
-    // Callers whose prompt has not been read in time leave as well.
-    for (size_t i = 0; i < reading_.size();) {
-      bool left = now_ > reading_[i].asked + kPatience;
-      served_.cut += left;
-      if (left) reading_.erase(reading_.begin() + static_cast<long>(i));
-      if (!left) ++i;
+    streams_ = std::move(unfinished);
+    // Callers whose prompt has not been processed in time disconnect as well.
+    for (size_t i = 0; i < prompts_.size();) {
+      bool timed_out = now_ > prompts_[i].arrived_at + kCallerTimeout;
+      served_.cut_off += timed_out;
+      if (timed_out) prompts_.erase(prompts_.begin() + static_cast<long>(i));
+      if (!timed_out) ++i;
     }
   }
 
-  bool Ends(const Answer& answer) {
-    bool whole = answer.events >= kEvents;
-    bool cut = !whole && now_ > answer.asked + kPatience;
-    if (!whole && !cut) return false;
-    auto events = static_cast<size_t>(answer.events);
-    escalation_.RecordStream(Stream(answer.large ? "large" : "small", events,
-                                    now_ - answer.began_at, whole),
+  bool Finishes(const Response& response) {
+    bool complete = response.events >= kEventsPerResponse;
+    bool cut_off = !complete && now_ > response.arrived_at + kCallerTimeout;
+    if (!complete && !cut_off) return false;
+    auto events = static_cast<size_t>(response.events);
+    escalation_.RecordStream(Stream(response.large ? "large" : "small", events,
+                                    now_ - response.started_at, complete),
                              Now());
-    served_.whole += whole;
-    served_.large += whole && answer.large;
-    served_.cut += cut;
+    served_.complete += complete;
+    served_.complete_large += complete && response.large;
+    served_.cut_off += cut_off;
     return true;
   }
 
-  static ObservedStream Stream(const char* model, size_t events, double span,
-                               bool whole) {
-    return {{"chat", model, 0}, events, Seconds(span), whole};
+  static ObservedStream Stream(const char* model, size_t events,
+                               double duration, bool is_complete) {
+    return {{"chat", model, 0}, events, Seconds(duration), is_complete};
   }
 
   TimePoint Now() const { return kStart + FromSeconds(now_); }
 
-  const bool decides_;
+  const bool escalates_by_policy_;
   std::mt19937 random_{7};
-  std::bernoulli_distribution arrives_;
+  std::bernoulli_distribution arrivals_;
   std::bernoulli_distribution weak_{0.33};
   EscalationPolicy escalation_;
-  std::vector<Answer> reading_;
-  std::vector<Answer> streams_;
-  bool held_up_ = false;
+  std::vector<Response> prompts_;
+  std::vector<Response> streams_;
+  bool processing_prompt_ = false;
   double now_ = 0;
   Served served_;
 };
 
-TEST_CASE("callers of a full pool get whole answers in place of cut ones") {
-  // Room for some 4.6 requests a second; 8 come.
-  Engine::Served always = Engine(8, false).Play(60);
-  Engine::Served decided = Engine(8, true).Play(60);
-  CHECK(decided.cut < always.cut / 4);
-  CHECK(decided.whole > always.whole * 1.4);
-  // Below its limit next to nothing changes.
-  Engine::Served calm_always = Engine(2, false).Play(60);
-  Engine::Served calm = Engine(2, true).Play(60);
-  CHECK(calm.cut == 0);
-  CHECK(calm.large >= calm_always.large * 0.9);
+TEST_CASE("a full pool completes more responses and cuts off fewer") {
+  // The engine can serve some 4.6 requests per second; 8 arrive.
+  Engine::Served unconditional = Engine(8, false).Simulate(60);
+  Engine::Served by_policy = Engine(8, true).Simulate(60);
+  CHECK(by_policy.cut_off < unconditional.cut_off / 4);
+  CHECK(by_policy.complete > unconditional.complete * 1.4);
+  // Below its capacity, the policy changes next to nothing.
+  Engine::Served low_load_unconditional = Engine(2, false).Simulate(60);
+  Engine::Served low_load_by_policy = Engine(2, true).Simulate(60);
+  CHECK(low_load_by_policy.cut_off == 0);
+  CHECK(low_load_by_policy.complete_large >=
+        low_load_unconditional.complete_large * 0.9);
 }
 
 }  // namespace
--- a/leverwick/testing/poison_requests_test.cc
+++ b/leverwick/testing/poison_requests_test.cc
@@ -192,7 +192,7 @@
   CHECK(KindAt(poison, request, 3400) == Kind::kSend);
 }
 
-TEST_CASE("those innocent a held request suspects fewer ends are not held") {
+TEST_CASE("a request present at only some of the crashes is not quarantined") {
   PoisonRequests poison("a");
   RequestDigest crashing = Request("crashing");
   RequestDigest innocent = Request("innocent");
@@ -211,7 +211,7 @@
 // A crash must not be attributed to one request rather than another while
 // neither is known to be healthy: a popular request is in flight at more
 // crashes than the poison request, and would hide it.
-TEST_CASE("a request suspects more ends does not hide the crashing one") {
+TEST_CASE("a request with more crashes does not hide the poison request") {
   PoisonRequests poison("a");
   RequestDigest crashing = Request("crashing");
   RequestDigest popular = Request("popular");
@@ -228,9 +228,7 @@
   CHECK(KindAt(poison, crashing, 6500) == Kind::kQuarantine);
 }
 
-TEST_CASE(
-    "indistinguishable requests are quarantined until a trial distinguishes "
-    "them") {
+TEST_CASE("indistinguishable requests are quarantined until one has a trial") {
   PoisonRequests poison("a");
   RequestDigest crashing = Request("crashing");
   RequestDigest innocent = Request("innocent");
--- a/leverwick/testing/relay_decisions_test.cc
+++ b/leverwick/testing/relay_decisions_test.cc
@@ -1,4 +1,5 @@
-// The relay's pure decisions: routes, attempts, streams, proofs, models.
+// Tests of the decisions of the relay that need no network: routes, attempts,
+// event streams, read proofs, retry budgets, models and keys.
 
 #include <doctest/doctest.h>
 
@@ -25,8 +26,8 @@
   return route;
 }
 
-// The plain form of FindRoute: looks at every route.
-const ServiceRoute* FindRouteSlowly(const ServiceConfig& config,
+// Reference implementation of FindRoute that scans all routes.
+const ServiceRoute* FindRouteByScan(const ServiceConfig& config,
                                     const std::string& host,
                                     const std::string& path) {
   const ServiceRoute* best = nullptr;
@@ -38,7 +39,7 @@
   return best;
 }
 
-TEST_CASE("routes are found as by looking at every one") {
+TEST_CASE("FindRoute finds the same route as a scan of all routes") {
   std::mt19937 random(7);
   const std::string parts[] = {"a/", "b/", "ab/", "c"};
   auto path = [&](bool prefix) {
@@ -54,16 +55,16 @@
     ServiceConfig config = builder.Build();
     for (int i = 0; i < 100; ++i) {
       std::string host = random() % 2 ? "x" : "y";
-      std::string asked = path(false);
-      const ServiceRoute* found = config.FindRoute(host, asked);
-      const ServiceRoute* expected = FindRouteSlowly(config, host, asked);
+      std::string requested = path(false);
+      const ServiceRoute* found = config.FindRoute(host, requested);
+      const ServiceRoute* expected = FindRouteByScan(config, host, requested);
       REQUIRE((found == nullptr) == (expected == nullptr));
       if (found != nullptr) CHECK(found->prefix == expected->prefix);
     }
   }
 }
 
-TEST_CASE("a route's services get their weights") {
+TEST_CASE("services of a route are chosen according to their weights") {
   ServiceRoute route;
   route.services = {{"a", 90}, {"b", 10}};
   int b = 0;
@@ -72,15 +73,15 @@
   CHECK(PickService(ServiceRoute(), 0.5).empty());
 }
 
-TEST_CASE("a request that may have run goes again only where that is allowed") {
+TEST_CASE("a request that may have run is retried only if it is repeatable") {
   using Outcome = AttemptOutcome;
   std::mt19937 random(3);
   const Outcome outcomes[] = {Outcome::kNotSent, Outcome::kRefused,
                               Outcome::kFailed, Outcome::kBroken};
   for (int round = 0; round < 2000; ++round) {
     bool repeatable = random() % 2;
-    int most = 1 + static_cast<int>(random() % 3);
-    AttemptLog log(repeatable, most);
+    int max_attempts = 1 + static_cast<int>(random() % 3);
+    AttemptLog log(repeatable, max_attempts);
     bool may_have_run = false;
     int sent = 0;
     for (int dispatch = 0; dispatch < 8; ++dispatch) {
@@ -90,7 +91,7 @@
       may_have_run = may_have_run || outcome == Outcome::kFailed ||
                      outcome == Outcome::kBroken;
       NextStep step = log.After(outcome, random() % 4 > 0);
-      CHECK(sent <= most);
+      CHECK(sent <= max_attempts);
       if (step == NextStep::kTryAgain) {
         CHECK((repeatable || !may_have_run));
         continue;
@@ -101,21 +102,21 @@
   }
 }
 
-TEST_CASE("events are passed on whole wherever the bytes are cut") {
+TEST_CASE("only complete events are returned, wherever the bytes are split") {
   const std::string stream =
       "id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\ndata: c\n\nid:3\n\nid: 4\nda";
   for (size_t cut = 0; cut <= stream.size(); ++cut) {
     EventStreamSplitter splitter;
-    std::string passed = splitter.Append(stream.substr(0, cut));
-    passed += splitter.Append(stream.substr(cut));
-    CHECK(passed == stream.substr(0, stream.size() - 8));
+    std::string complete = splitter.Append(stream.substr(0, cut));
+    complete += splitter.Append(stream.substr(cut));
+    CHECK(complete == stream.substr(0, stream.size() - 8));
     CHECK(splitter.last_id() == "3");
     CHECK(splitter.event_count() == 4);
     CHECK(splitter.partial_event_bytes() == 8);
   }
 }
 
-TEST_CASE("a half event is dropped when the stream goes on elsewhere") {
+TEST_CASE("a partial event is discarded before a stream is resumed") {
   EventStreamSplitter splitter;
   CHECK(splitter.Append("id: 1\n\nid: 2\nda") == "id: 1\n\n");
   splitter.DiscardPartialEvent();
@@ -123,45 +124,46 @@
   CHECK(splitter.last_id() == "2");
 }
 
-TEST_CASE("a proof's age counts from when the read was sent") {
+TEST_CASE(
+    "the age of a read proof is measured from the time the read was sent") {
   TimePoint start = TimePoint() + std::chrono::hours(1);
   ReadProof proof(milliseconds(5000));
   CHECK_FALSE(proof.HoldsAt(start));
   proof.Proved(start);
   CHECK(proof.HoldsAt(start + milliseconds(4999)));
   CHECK_FALSE(proof.HoldsAt(start + milliseconds(5000)));
-  // An answer that comes late proves no more than when it was asked for.
+  // A reply to an earlier read does not make the proof older.
   proof.Proved(start - milliseconds(1000));
   CHECK(proof.AgeAt(start) == milliseconds(0));
 }
 
-TEST_CASE("retries are bounded by what was saved and a share of requests") {
+TEST_CASE("retries are bounded by the saved budget and a share of requests") {
   RetryBudget budget(0.5, 2, 5);
-  int taken = 0;
-  for (int i = 0; i < 100; ++i) taken += budget.Take();
-  CHECK(taken == 2);
+  int granted = 0;
+  for (int i = 0; i < 100; ++i) granted += budget.Take();
+  CHECK(granted == 2);
   for (int i = 0; i < 100; ++i) budget.Count();
-  taken = 0;
-  for (int i = 0; i < 100; ++i) taken += budget.Take();
-  CHECK(taken == 5);
+  granted = 0;
+  for (int i = 0; i < 100; ++i) granted += budget.Take();
+  CHECK(granted == 5);
 }
 
-TEST_CASE("sends that improve answers leave a retry to requests without") {
+TEST_CASE("retries that improve responses leave one for failed requests") {
   using Purpose = RetryBudget::Purpose;
   RetryBudget budget(0.5, 2, 5);
-  double least = budget.level();
+  double min_level = budget.level();
   int improved = 0;
   for (int i = 0; i < 100; ++i) {
     budget.Count();
     improved += budget.Take(Purpose::kImprove);
-    least = std::min(least, budget.level());
+    min_level = std::min(min_level, budget.level());
   }
-  CHECK(least >= 1);
+  CHECK(min_level >= 1);
   CHECK(improved >= 50);
   CHECK(budget.Take(Purpose::kAnswer));
 }
 
-TEST_CASE("the small model is asked first while its answers are good") {
+TEST_CASE("the small model is tried first while its responses are confident") {
   ServiceRoute route = MakeRoute("x", "/");
   route.models = {"small", "middle", "large"};
   ServiceInfo service;
@@ -174,7 +176,7 @@
   CHECK_FALSE(cascade.IsWeak(0.6));
   for (int i = 0; i < 100; ++i) cascade.RecordConfidence(route.name, 0, 0.1);
   CHECK(cascade.ChooseFirstModel(route, &service, 0.5) == 2);
-  // Some requests go on asking it, so that a better one is found again.
+  // Some requests still try it, so that an improvement is noticed.
   CHECK(cascade.ChooseFirstModel(route, &service, 0.01) == 0);
   for (int i = 0; i < 400; ++i) cascade.RecordConfidence(route.name, 0, 0.9);
   CHECK(cascade.ChooseFirstModel(route, &service, 0.5) == 0);
@@ -186,7 +188,7 @@
   for (const KeyTrust* trust : {&strict, &lenient}) {
     CHECK(AdmitKey(*trust, true, true) == Result::kOk);
     CHECK(AdmitKey(*trust, false, true) == Result::kBadKey);
-    // An unknown key may be newer than what the box knows.
+    // An unknown key may be newer than this box's table.
     CHECK(AdmitKey(*trust, false, false) == Result::kStaleTable);
   }
   CHECK(AdmitKey(strict, true, false) == Result::kStaleTable);
