--- a/daemon/relay.h
+++ b/daemon/relay.h
@@ -30,7 +30,7 @@
 #include "leverwick/endpoint_pool.h"
 #include "leverwick/endpoint_selector.h"
 #include "leverwick/engine_loads.h"
-#include "leverwick/escalation.h"
+#include "leverwick/escalation_policy.h"
 #include "leverwick/guard.h"
 #include "leverwick/key_validity.h"
 #include "leverwick/model_cascade.h"
@@ -161,7 +161,7 @@
   Guard guard_;
   VersionWatch watch_;
   ModelCascade cascade_;
-  Escalation escalation_;
+  EscalationPolicy escalation_;
   EngineLoads loads_;
   Reachability reach_;
   RecentRefusals refusals_;
--- a/leverwick/testing/recent_runs_test.cc
+++ b/leverwick/testing/recent_runs_test.cc
@@ -1,9 +1,8 @@
-// A request ended endpoint after endpoint and was sent on each time it came
-// back. Its runs ended their endpoints 45 to 110 ms after they had begun, also
-// where they had been given up after 1 to 3 ms for a larger model's answer at
-// another endpoint: of five recorded ends two came when the request was not
-// there any more, while up to 48 others were. Evidence: the times of the
-// endpoints' ends, of the runs' begins and of the breaks in the record.
+// Guards against a poison request that crashes one endpoint after another and
+// is retried each time. A run may crash its endpoint 45 to 110 ms after its
+// start, and thus after it has been abandoned (within 1 to 3 ms, for the
+// response of a larger model elsewhere) while dozens of other requests are in
+// flight there.
 
 #include "leverwick/recent_runs.h"
 
@@ -17,7 +16,7 @@
 TimePoint At(int64_t ms) { return kStart + milliseconds(ms); }
 
 RequestDigest Request(const std::string& body) {
-  return DigestOf({"a.example", "/chat/1", "t", body});
+  return ComputeRequestDigest({"a.example", "/chat/1", "t", body});
 }
 
 bool Has(const std::vector<EndpointRun>& runs, const RequestDigest& request) {
@@ -27,103 +26,110 @@
   return false;
 }
 
-TEST_CASE("a request is the same by path, caller and body, not by its id") {
-  RequestDigest request = DigestOf({"h", "/p", "o", "body"});
-  CHECK(request == DigestOf({"h", "/p", "o", "body"}));
-  CHECK_FALSE(request == DigestOf({"g", "/p", "o", "body"}));
-  CHECK_FALSE(request == DigestOf({"h", "/q", "o", "body"}));
-  CHECK_FALSE(request == DigestOf({"h", "/p", "other", "body"}));
-  CHECK_FALSE(request == DigestOf({"h", "/p", "o", "bodies"}));
-  // Where one field ends and the next begins counts.
-  CHECK_FALSE(DigestOf({"a", "bc", "o", ""}) == DigestOf({"ab", "c", "o", ""}));
-  CHECK(request.ShortName().size() == 8);
+TEST_CASE("a request is identified by host, target, organisation and body") {
+  RequestDigest request = ComputeRequestDigest({"h", "/p", "o", "body"});
+  CHECK(request == ComputeRequestDigest({"h", "/p", "o", "body"}));
+  CHECK_FALSE(request == ComputeRequestDigest({"g", "/p", "o", "body"}));
+  CHECK_FALSE(request == ComputeRequestDigest({"h", "/q", "o", "body"}));
+  CHECK_FALSE(request == ComputeRequestDigest({"h", "/p", "other", "body"}));
+  CHECK_FALSE(request == ComputeRequestDigest({"h", "/p", "o", "bodies"}));
+  // The boundary between two fields counts.
+  CHECK_FALSE(ComputeRequestDigest({"a", "bc", "o", ""}) ==
+              ComputeRequestDigest({"ab", "c", "o", ""}));
+  CHECK(request.ShortHex().size() == 8);
   CHECK(request.bytes().size() == 20);
-  CHECK(request.owner() == DigestOf({"h", "/q", "o", "x"}).owner());
-  CHECK(request.owner() != DigestOf({"h", "/p", "other", "body"}).owner());
+  CHECK(request.organisation_hash() ==
+        ComputeRequestDigest({"h", "/q", "o", "x"}).organisation_hash());
+  CHECK(request.organisation_hash() !=
+        ComputeRequestDigest({"h", "/p", "other", "body"}).organisation_hash());
 }
 
-TEST_CASE("a run that was given up counts under an end that follows it") {
+TEST_CASE("an abandoned run is a suspect of a crash shortly after") {
   RecentRuns runs;
-  uint64_t given_up = runs.Began(Request("ends"), "e", "v1", At(0));
-  runs.Began(Request("beside"), "e", "v1", At(0));
-  runs.Began(Request("elsewhere"), "f", "v1", At(0));
-  runs.Ended("e", given_up, RunEnd::kGivenUp, At(3));
-  std::vector<EndpointRun> under = runs.TakeUnder("e", At(60));
-  CHECK(under.size() == 2);
-  CHECK(Has(under, Request("ends")));
-  CHECK(Has(under, Request("beside")));
-  // The endpoint's runs are forgotten with it.
-  CHECK(runs.TakeUnder("e", At(61)).empty());
+  uint64_t abandoned = runs.RecordStart(Request("crashes"), "e", "v1", At(0));
+  runs.RecordStart(Request("beside"), "e", "v1", At(0));
+  runs.RecordStart(Request("elsewhere"), "f", "v1", At(0));
+  runs.RecordEnd("e", abandoned, RunOutcome::kAbandoned, At(3));
+  std::vector<EndpointRun> suspects = runs.TakeCrashSuspects("e", At(60));
+  CHECK(suspects.size() == 2);
+  CHECK(Has(suspects, Request("crashes")));
+  CHECK(Has(suspects, Request("beside")));
+  // The runs of the crashed endpoint have been removed.
+  CHECK(runs.TakeCrashSuspects("e", At(61)).empty());
   CHECK(runs.size() == 1);
 }
 
-TEST_CASE("runs that ended long before, or began after, are not under an end") {
+TEST_CASE(
+    "runs that ended long before a crash or started after it are no suspects") {
   RecentRuns runs;
-  uint64_t before = runs.Began(Request("before"), "e", "v1", At(0));
-  runs.Ended("e", before, RunEnd::kWhole, At(10));
-  runs.Began(Request("after"), "e", "v1", At(2000));
-  CHECK(runs.TakeUnder("e", At(1500)).empty());
+  uint64_t before = runs.RecordStart(Request("before"), "e", "v1", At(0));
+  runs.RecordEnd("e", before, RunOutcome::kComplete, At(10));
+  runs.RecordStart(Request("after"), "e", "v1", At(2000));
+  CHECK(runs.TakeCrashSuspects("e", At(1500)).empty());
 }
 
-TEST_CASE("a refused connection tells of runs that were given up only") {
+TEST_CASE("a refused connection makes only abandoned runs suspects") {
   RecentRuns runs;
-  uint64_t whole = runs.Began(Request("whole"), "e", "v1", At(0));
-  uint64_t given_up = runs.Began(Request("given up"), "e", "v1", At(0));
-  runs.Ended("e", whole, RunEnd::kWhole, At(10));
-  runs.Ended("e", given_up, RunEnd::kGivenUp, At(10));
-  std::vector<EndpointRun> under = runs.TakeGivenUp("e", At(200));
-  REQUIRE(under.size() == 1);
-  CHECK(under[0].request == Request("given up"));
+  uint64_t complete = runs.RecordStart(Request("complete"), "e", "v1", At(0));
+  uint64_t abandoned = runs.RecordStart(Request("abandoned"), "e", "v1", At(0));
+  runs.RecordEnd("e", complete, RunOutcome::kComplete, At(10));
+  runs.RecordEnd("e", abandoned, RunOutcome::kAbandoned, At(10));
+  std::vector<EndpointRun> suspects = runs.TakeAbandonedSuspects("e", At(200));
+  REQUIRE(suspects.size() == 1);
+  CHECK(suspects[0].request == Request("abandoned"));
 }
 
-TEST_CASE("a call that is still open shows that the endpoint has not ended") {
+TEST_CASE(
+    "a run that is still in flight shows that the endpoint has not crashed") {
   RecentRuns runs;
-  uint64_t broken = runs.Began(Request("broken"), "e", "v1", At(0));
-  uint64_t open = runs.Began(Request("open"), "e", "v1", At(0));
-  runs.Ended("e", broken, RunEnd::kBroken, At(50));
-  CHECK(runs.AnyOpenSince("e", At(50)));
-  runs.Ended("e", open, RunEnd::kBroken, At(55));
-  CHECK_FALSE(runs.AnyOpenSince("e", At(50)));
-  // One that was sent after the break shows nothing.
-  runs.Began(Request("later"), "e", "v1", At(60));
-  CHECK_FALSE(runs.AnyOpenSince("e", At(50)));
+  uint64_t disconnected =
+      runs.RecordStart(Request("disconnected"), "e", "v1", At(0));
+  uint64_t in_flight = runs.RecordStart(Request("in flight"), "e", "v1", At(0));
+  runs.RecordEnd("e", disconnected, RunOutcome::kDisconnected, At(50));
+  CHECK(runs.HasRunInFlightAt("e", At(50)));
+  runs.RecordEnd("e", in_flight, RunOutcome::kDisconnected, At(55));
+  CHECK_FALSE(runs.HasRunInFlightAt("e", At(50)));
+  // A run that started after the disconnection shows nothing.
+  runs.RecordStart(Request("later"), "e", "v1", At(60));
+  CHECK_FALSE(runs.HasRunInFlightAt("e", At(50)));
 }
 
-TEST_CASE("an answer is sound once its endpoint has lived on") {
+TEST_CASE("a complete run is healthy once its endpoint has survived it") {
   RecentRuns runs;
-  uint64_t sound = runs.Began(Request("sound"), "e", "v1", At(0));
-  uint64_t ends = runs.Began(Request("ends"), "f", "v1", At(0));
-  uint64_t given_up = runs.Began(Request("given up"), "e", "v1", At(0));
-  runs.Ended("e", sound, RunEnd::kWhole, At(10));
-  runs.Ended("f", ends, RunEnd::kWhole, At(10));
-  runs.Ended("e", given_up, RunEnd::kGivenUp, At(10));
-  auto alive = [](const std::string& endpoint) { return endpoint == "e"; };
-  CHECK(runs.TakeSurvived(alive, At(300)).empty());
-  std::vector<EndpointRun> survived = runs.TakeSurvived(alive, At(310));
+  uint64_t healthy = runs.RecordStart(Request("healthy"), "e", "v1", At(0));
+  uint64_t crashes = runs.RecordStart(Request("crashes"), "f", "v1", At(0));
+  uint64_t abandoned = runs.RecordStart(Request("abandoned"), "e", "v1", At(0));
+  runs.RecordEnd("e", healthy, RunOutcome::kComplete, At(10));
+  runs.RecordEnd("f", crashes, RunOutcome::kComplete, At(10));
+  runs.RecordEnd("e", abandoned, RunOutcome::kAbandoned, At(10));
+  auto is_alive = [](const std::string& endpoint) { return endpoint == "e"; };
+  CHECK(runs.TakeSurvivedRuns(is_alive, At(300)).empty());
+  std::vector<EndpointRun> survived = runs.TakeSurvivedRuns(is_alive, At(310));
   REQUIRE(survived.size() == 1);
-  CHECK(survived[0].request == Request("sound"));
-  // That nothing is known of an end shows nothing.
-  CHECK(Has(runs.TakeUnder("f", At(80)), Request("ends")));
-  // What nobody can be blamed for any more is forgotten.
-  CHECK(runs.TakeSurvived(alive, At(1011)).empty());
+  CHECK(survived[0].request == Request("healthy"));
+  // An endpoint that is not known to be alive may have crashed.
+  CHECK(Has(runs.TakeCrashSuspects("f", At(80)), Request("crashes")));
+  // Runs that ended too long ago to be suspects are removed.
+  CHECK(runs.TakeSurvivedRuns(is_alive, At(1011)).empty());
   CHECK(runs.size() == 0);
 }
 
-TEST_CASE("what is remembered of one endpoint is bounded") {
+TEST_CASE("the number of runs kept per endpoint is bounded") {
   RecentRuns runs;
   for (int i = 0; i < 1000; ++i) {
-    uint64_t run = runs.Began(Request(std::to_string(i)), "e", "v1", At(i));
-    runs.Ended("e", run, RunEnd::kWhole, At(i));
+    uint64_t run =
+        runs.RecordStart(Request(std::to_string(i)), "e", "v1", At(i));
+    runs.RecordEnd("e", run, RunOutcome::kComplete, At(i));
   }
   CHECK(runs.size() <= 256);
-  CHECK(Has(runs.TakeUnder("e", At(1000)), Request("999")));
+  CHECK(Has(runs.TakeCrashSuspects("e", At(1000)), Request("999")));
 }
 
-TEST_CASE("a run that has not begun is forgotten") {
+TEST_CASE("a run that never started is discarded") {
   RecentRuns runs;
-  uint64_t run = runs.Began(Request("refused"), "e", "v1", At(0));
-  runs.Forget("e", run);
-  CHECK(runs.TakeUnder("e", At(1)).empty());
+  uint64_t run = runs.RecordStart(Request("refused"), "e", "v1", At(0));
+  runs.Discard("e", run);
+  CHECK(runs.TakeCrashSuspects("e", At(1)).empty());
 }
 
 }  // namespace
