--- a/bench/backoffs.cc
+++ b/bench/backoffs.cc
@@ -1,6 +1,6 @@
 // What endpoints that turn requests away get from a fleet, by the way in which
 // boxes keep the back-offs that they ask for
-// (leverwick/testing/backoff_play.h).
+// (leverwick/testing/backoff_simulation.h).
 //
 //   bench-backoffs [seeds]
 
@@ -8,7 +8,7 @@
 #include <cstdlib>
 #include <memory>
 
-#include "leverwick/testing/backoff_play.h"
+#include "leverwick/testing/backoff_simulation.h"
 
 namespace leverwick {
 namespace {
--- a/bench/limits.cc
+++ b/bench/limits.cc
@@ -1,5 +1,5 @@
 // What an endpoint that names a limit gets from a fleet, by the way in which
-// boxes keep the limit (leverwick/testing/limit_play.h).
+// boxes keep the limit (leverwick/testing/limit_simulation.h).
 //
 //   bench-limits [seeds]
 //   bench-limits [seeds] lists    boxes that have read different lists
@@ -10,8 +10,8 @@
 #include <functional>
 #include <memory>
 
-#include "leverwick/testing/limit_play.h"
-#include "leverwick/testing/listed_permits.h"
+#include "leverwick/testing/limit_simulation.h"
+#include "leverwick/testing/box_list_permits.h"
 
 namespace leverwick {
 namespace {
--- a/daemon/relay.h
+++ b/daemon/relay.h
@@ -40,7 +40,7 @@
 #include "leverwick/recent_refusals.h"
 #include "leverwick/request_sampler.h"
 #include "leverwick/retry_budget.h"
-#include "leverwick/send_gates.h"
+#include "leverwick/send_eligibility.h"
 #include "leverwick/service_config.h"
 #include "leverwick/service_rollouts.h"
 #include "net/async_http_client.h"
--- a/leverwick/endpoint_choice.h
+++ b/leverwick/endpoint_choice.h
@@ -29,7 +29,7 @@
 #include "leverwick/homes.h"
 #include "leverwick/recent_refusals.h"
 #include "leverwick/result.h"
-#include "leverwick/send_gates.h"
+#include "leverwick/send_eligibility.h"
 #include "leverwick/service_rollouts.h"
 #include "leverwick/time.h"
 
--- a/leverwick/rate_grants.cc
+++ b/leverwick/grant_pacer.cc
@@ -1,4 +1,4 @@
-#include "leverwick/rate_grants.h"
+#include "leverwick/grant_pacer.h"
 
 #include <algorithm>
 
--- a/leverwick/rate_grants.h
+++ b/leverwick/grant_pacer.h
@@ -8,8 +8,8 @@
 //   RateGrants::Answer answer = grants.Ask("endpoint", 1.5, now);
 //   if (!answer.granted) ... answer.room_in
 
-#ifndef LEVERWICK_RATE_GRANTS_H_
-#define LEVERWICK_RATE_GRANTS_H_
+#ifndef LEVERWICK_GRANT_PACER_H_
+#define LEVERWICK_GRANT_PACER_H_
 
 #include <string>
 #include <unordered_map>
@@ -43,4 +43,4 @@
 
 }  // namespace leverwick
 
-#endif  // LEVERWICK_RATE_GRANTS_H_
+#endif  // LEVERWICK_GRANT_PACER_H_
--- a/leverwick/send_gates.cc
+++ b/leverwick/send_eligibility.cc
@@ -1,4 +1,4 @@
-#include "leverwick/send_gates.h"
+#include "leverwick/send_eligibility.h"
 
 #include <algorithm>
 
--- a/leverwick/send_gates.h
+++ b/leverwick/send_eligibility.h
@@ -12,8 +12,8 @@
 //     gates.Sent(endpoint.address, now);
 //   }
 
-#ifndef LEVERWICK_SEND_GATES_H_
-#define LEVERWICK_SEND_GATES_H_
+#ifndef LEVERWICK_SEND_ELIGIBILITY_H_
+#define LEVERWICK_SEND_ELIGIBILITY_H_
 
 #include <string>
 
@@ -78,4 +78,4 @@
 
 }  // namespace leverwick
 
-#endif  // LEVERWICK_SEND_GATES_H_
+#endif  // LEVERWICK_SEND_ELIGIBILITY_H_
--- a/leverwick/send_permits.h
+++ b/leverwick/send_permits.h
@@ -32,7 +32,7 @@
 #include <vector>
 
 #include "leverwick/endpoint_limits.h"
-#include "leverwick/rate_grants.h"
+#include "leverwick/grant_pacer.h"
 #include "leverwick/time.h"
 
 namespace leverwick {
--- a/leverwick/testing/backoff_play.h
+++ b/leverwick/testing/backoff_simulation.h
@@ -9,8 +9,8 @@
 //   BackoffPlay play(fleet, way, seed);
 //   PlayedBackoff result = play.Run();
 
-#ifndef LEVERWICK_TESTING_BACKOFF_PLAY_H_
-#define LEVERWICK_TESTING_BACKOFF_PLAY_H_
+#ifndef LEVERWICK_TESTING_BACKOFF_SIMULATION_H_
+#define LEVERWICK_TESTING_BACKOFF_SIMULATION_H_
 
 #include <algorithm>
 #include <cstddef>
@@ -307,4 +307,4 @@
 
 }  // namespace leverwick
 
-#endif  // LEVERWICK_TESTING_BACKOFF_PLAY_H_
+#endif  // LEVERWICK_TESTING_BACKOFF_SIMULATION_H_
--- a/leverwick/testing/backoff_play_test.cc
+++ b/leverwick/testing/backoff_simulation_test.cc
@@ -1,4 +1,4 @@
-#include "leverwick/testing/backoff_play.h"
+#include "leverwick/testing/backoff_simulation.h"
 
 #include <doctest/doctest.h>
 
--- a/leverwick/testing/listed_permits.h
+++ b/leverwick/testing/box_list_permits.h
@@ -10,8 +10,8 @@
 //   ListedPermits permits(&play, lists);
 //   PlayedLimit result = play.Run(&permits);
 
-#ifndef LEVERWICK_TESTING_LISTED_PERMITS_H_
-#define LEVERWICK_TESTING_LISTED_PERMITS_H_
+#ifndef LEVERWICK_TESTING_BOX_LIST_PERMITS_H_
+#define LEVERWICK_TESTING_BOX_LIST_PERMITS_H_
 
 #include <map>
 #include <memory>
@@ -21,7 +21,7 @@
 #include <vector>
 
 #include "leverwick/fleet_agreement.h"
-#include "leverwick/testing/limit_play.h"
+#include "leverwick/testing/limit_simulation.h"
 
 namespace leverwick {
 
@@ -290,4 +290,4 @@
 
 }  // namespace leverwick
 
-#endif  // LEVERWICK_TESTING_LISTED_PERMITS_H_
+#endif  // LEVERWICK_TESTING_BOX_LIST_PERMITS_H_
--- a/leverwick/testing/listed_permits_test.cc
+++ b/leverwick/testing/box_list_permits_test.cc
@@ -1,7 +1,7 @@
 // Fleets whose boxes have read different lists of each other keep a limit: the
 // users' bound, in any 4 s from 3 s after the first naming on.
 
-#include "leverwick/testing/listed_permits.h"
+#include "leverwick/testing/box_list_permits.h"
 
 #include <doctest/doctest.h>
 
--- a/leverwick/testing/limit_play.h
+++ b/leverwick/testing/limit_simulation.h
@@ -9,8 +9,8 @@
 //   LimitPlay play(fleet, seed);
 //   PlayedLimit result = play.Run(&way);
 
-#ifndef LEVERWICK_TESTING_LIMIT_PLAY_H_
-#define LEVERWICK_TESTING_LIMIT_PLAY_H_
+#ifndef LEVERWICK_TESTING_LIMIT_SIMULATION_H_
+#define LEVERWICK_TESTING_LIMIT_SIMULATION_H_
 
 #include <algorithm>
 #include <cstddef>
@@ -410,4 +410,4 @@
 
 }  // namespace leverwick
 
-#endif  // LEVERWICK_TESTING_LIMIT_PLAY_H_
+#endif  // LEVERWICK_TESTING_LIMIT_SIMULATION_H_
--- a/leverwick/testing/limit_play_test.cc
+++ b/leverwick/testing/limit_simulation_test.cc
@@ -2,7 +2,7 @@
 // seeds. What is allowed is the users' bound, in any 4 s from 3 s after the
 // first naming on: half as much again as the limit, and five.
 
-#include "leverwick/testing/limit_play.h"
+#include "leverwick/testing/limit_simulation.h"
 
 #include <doctest/doctest.h>
 
