--- a/leverwick/backoffs.h
+++ b/leverwick/backoffs.h
@@ -1,5 +1,5 @@
-// Tracks the back-offs that endpoints request from this box with a 503 response
-// and a Retry-After header.
+// Tracks the back-offs that endpoints request from this box: how long after a
+// 503 response an endpoint wants no requests from it.
 //
 // Each response is in force for its own duration, so the latest end time wins.
 // A successful response does not end a back-off, since its request may have
--- a/leverwick/endpoint_limits.h
+++ b/leverwick/endpoint_limits.h
@@ -5,7 +5,7 @@
 // A response carries no timestamp. It was written at some moment between the
 // sending of its request and its arrival. Where two responses may have been
 // written in either order, the limit stays in force. A response without the
-// limit therefore removes it only if its request was sent at least
+// limit therefore removes it only if its request was sent more than
 // kMinHoldTime after the arrival of the last response that reported the limit.
 // This hold time also preserves a limit that only some responses report, such
 // as those of one model or to one caller. A report from another box counts like
