--- a/daemon/relay.h
+++ b/daemon/relay.h
@@ -39,7 +39,7 @@
 #include "leverwick/recent_refusals.h"
 #include "leverwick/request_sampler.h"
 #include "leverwick/retry_budget.h"
-#include "leverwick/send_gates.h"
+#include "leverwick/send_eligibility.h"
 #include "leverwick/service_config.h"
 #include "leverwick/service_rollouts.h"
 #include "leverwick/version_estimates.h"
@@ -165,7 +165,7 @@
   EngineLoads loads_;
   Reachability reach_;
   RecentRefusals refusals_;
-  const SendGates gates_;
+  const SendEligibility gates_;
   const EndpointSelector choice_;
   HttpConnections connections_;
   EndpointEnds ends_;
--- a/daemon/relayed_request.cc
+++ b/daemon/relayed_request.cc
@@ -200,8 +200,8 @@
     const DirectoryEntry* endpoint = relay_->directory_.Find(wished);
     if (endpoint == nullptr) return false;
     preferred_ = wished;
-    permits->Ask(wished, endpoint->data_centre, now);
-    if (permits->IsAsking(wished)) return true;
+    permits->RequestPermit(wished, endpoint->data_centre, now);
+    if (permits->IsRequestPending(wished)) return true;
     // This box deals it out itself and has answered.
   }
   return false;
@@ -212,7 +212,7 @@
   last_tried_ = endpoint.id;
   log_.RecordAttempt();
   relay_->pool_.RecordStart(endpoint.id);
-  relay_->gates_.Sent(endpoint.id, Clock::now());
+  relay_->gates_.RecordSend(endpoint.id, Clock::now());
   try_.emplace();
   try_->endpoint = endpoint.id;
   try_->version = endpoint.version;
--- a/leverwick/endpoint_selector.cc
+++ b/leverwick/endpoint_selector.cc
@@ -53,7 +53,7 @@
   // the roll-out step.
   if (criteria.side == Side::kBaseline) {
     EndpointCriteria open = criteria;
-    open.gates = SendGates::Scope::kIgnoreRequested;
+    open.gates = SendEligibility::Scope::kIgnoreLimitsAndBackoffs;
     if (!SelectOnSide(criteria.side, open, excluded, now).empty()) return "";
   }
   // If one version has no usable endpoints, the other one gets its requests.
@@ -66,7 +66,7 @@
   std::string target = facts_.rollouts->TargetOf(criteria.service);
   auto allowed = [&](const ListedEndpoint& endpoint) {
     if (!IsEligible(endpoint, criteria)) return false;
-    if (!facts_.gates->IsOpen(endpoint, criteria.gates, now)) return false;
+    if (!facts_.gates->IsEligible(endpoint, criteria.gates, now)) return false;
     return side == Side::kAny ||
            (endpoint.version == target) == (side == Side::kTarget);
   };
@@ -103,12 +103,12 @@
 std::string EndpointSelector::SelectForPermitRequest(
     const EndpointCriteria& criteria, TimePoint now) const {
   EndpointCriteria with_permits = criteria;
-  with_permits.gates = SendGates::Scope::kAskPermits;
+  with_permits.gates = SendEligibility::Scope::kAllowPermitRequest;
   std::string chosen = Select(with_permits, now);
   return facts_.gates->NeedsPermit(chosen, now) ? chosen : "";
 }
 
-bool EndpointSelector::AnyWithScope(SendGates::Scope gates,
+bool EndpointSelector::AnyWithScope(SendEligibility::Scope gates,
                                     const EndpointCriteria& criteria,
                                     TimePoint now) const {
   EndpointCriteria any = criteria;
@@ -118,10 +118,10 @@
 
 Result EndpointSelector::ReasonForNone(const EndpointCriteria& criteria,
                                        TimePoint now) const {
-  using Scope = SendGates::Scope;
+  using Scope = SendEligibility::Scope;
   if (AnyWithScope(Scope::kIgnoreLimits, criteria, now))
     return Result::kEndpointsLimited;
-  if (AnyWithScope(Scope::kIgnoreRequested, criteria, now))
+  if (AnyWithScope(Scope::kIgnoreLimitsAndBackoffs, criteria, now))
     return Result::kEndpointsBackOff;
   return Result::kNoEndpoint;
 }
@@ -133,7 +133,8 @@
   auto visit = [&](const ListedEndpoint& endpoint) {
     listed = true;
     if (!IsEligible(endpoint, criteria)) return false;
-    nanoseconds time_until_open = facts_.gates->OpensIn(endpoint, now);
+    nanoseconds time_until_open =
+        facts_.gates->TimeUntilEligible(endpoint, now);
     earliest = std::min(time_until_open, earliest.value_or(time_until_open));
     return false;  // visits the endpoint without selecting it
   };
--- a/leverwick/endpoint_selector.h
+++ b/leverwick/endpoint_selector.h
@@ -33,7 +33,7 @@
 #include "leverwick/recent_refusals.h"
 #include "leverwick/remote_cost.h"
 #include "leverwick/result.h"
-#include "leverwick/send_gates.h"
+#include "leverwick/send_eligibility.h"
 #include "leverwick/service_rollouts.h"
 #include "leverwick/time.h"
 
@@ -55,7 +55,7 @@
   // found unhealthy before the newest order may be selected, because no healthy
   // version is listed.
   bool allow_unhealthy_versions = false;
-  SendGates::Scope gates = SendGates::Scope::kAll;
+  SendEligibility::Scope gates = SendEligibility::Scope::kAll;
 };
 
 class EndpointSelector {
@@ -65,7 +65,7 @@
     const EndpointPool* pool;
     const ServiceRollouts* rollouts;
     const EngineLoads* loads;
-    const SendGates* gates;
+    const SendEligibility* gates;
     const DrainedDataCentres* drained;
     const RecentRefusals* refusals;
   };
@@ -115,8 +115,8 @@
   // Returns whether all listed endpoints of the service run versions that were
   // found unhealthy.
   bool AllListedUnhealthy(const std::string& service) const;
-  bool AnyWithScope(SendGates::Scope gates, const EndpointCriteria& criteria,
-                    TimePoint now) const;
+  bool AnyWithScope(SendEligibility::Scope gates,
+                    const EndpointCriteria& criteria, TimePoint now) const;
   // Returns whether the endpoint is allowed by the drained data centres, the
   // health of its version and the request's home regions.
   bool IsEligible(const ListedEndpoint& endpoint,
--- a/leverwick/testing/endpoint_selector_test.cc
+++ b/leverwick/testing/endpoint_selector_test.cc
@@ -31,7 +31,7 @@
   SendPermits permits{{"box", "dc1"}, &limits};
   Backoffs backoffs;
   RecentRefusals refusals;
-  SendGates gates{{&reach, &backoffs, &slow_start, &permits}};
+  SendEligibility gates{{&reach, &backoffs, &slow_start, &permits}};
   EndpointSelector selector{
       {&pool, &rollouts, &loads, &gates, &drained, &refusals},
       RemoteCost(std::chrono::seconds(30)),
@@ -285,10 +285,10 @@
 // endpoint.
 struct LimitedSite : Site {
   LimitedSite() {
-    permits.SetBoxes({});
-    permits.GrantFrom(kStart);
+    permits.SetOtherBoxes({});
+    permits.AllowGrantsFrom(kStart);
     pool.SetListed({Listed("a", "dc1"), Listed("b", "dc2")}, kStart);
-    limits.Named("a", 2, kStart);
+    limits.RecordLimit("a", 2, kStart);
   }
 };
 
@@ -298,15 +298,15 @@
   CHECK(site.selector.Select(criteria, kStart) == "b");
   // It is the cheapest one, so a permit should be requested for it.
   CHECK(site.selector.SelectForPermitRequest(criteria, kStart) == "a");
-  site.permits.Ask("a", "dc1", kStart);
+  site.permits.RequestPermit("a", "dc1", kStart);
   // No permit is available for half a second, so none should be requested.
   CHECK(site.selector.SelectForPermitRequest(criteria, kStart).empty());
   TimePoint later = kStart + milliseconds(500);
   CHECK(site.selector.SelectForPermitRequest(criteria, later) == "a");
-  site.permits.Ask("a", "dc1", later);
+  site.permits.RequestPermit("a", "dc1", later);
   CHECK(site.selector.Select(criteria, later) == "a");
   CHECK(site.selector.SelectForPermitRequest(criteria, later).empty());
-  site.permits.Sent("a", later);
+  site.permits.RecordSend("a", later);
   CHECK(site.selector.Select(criteria, later) == "b");
 }
 
@@ -320,13 +320,13 @@
 
 TEST_CASE("when limits block all endpoints, retry-after is that of a permit") {
   LimitedSite site;
-  site.limits.Named("b", 0.5, kStart);
+  site.limits.RecordLimit("b", 0.5, kStart);
   EndpointCriteria criteria = MakeCriteria(nullptr, 0);
   CHECK(site.selector.Select(criteria, kStart).empty());
   CHECK(site.selector.ReasonForNone(criteria, kStart) ==
         Result::kEndpointsLimited);
-  site.permits.Ask("a", "dc1", kStart);
-  site.permits.Ask("b", "dc2", kStart);
+  site.permits.RequestPermit("a", "dc1", kStart);
+  site.permits.RequestPermit("b", "dc2", kStart);
   CHECK(site.selector.RetryAfter(criteria, kStart) == milliseconds(500));
   // Drained endpoints are not blocked by limits.
   site.drained.Drain("dc1");
@@ -347,8 +347,8 @@
   CHECK(site.selector.ReasonForNone(criteria, kStart) ==
         Result::kEndpointsLimited);
   // Requests that exceed the limit of the target go to the baseline.
-  site.limits.NotNamed("a", kStart + std::chrono::seconds(1));
-  site.limits.Named("new", 2, kStart);
+  site.limits.RecordNoLimit("a", kStart + std::chrono::seconds(1));
+  site.limits.RecordLimit("new", 2, kStart);
   criteria.side = ServiceRollouts::Side::kTarget;
   CHECK(site.selector.Select(criteria, kStart) == "a");
 }
@@ -357,7 +357,7 @@
     "an endpoint that requested a back-off gets no requests until its end") {
   Site site;
   site.pool.SetListed({Listed("a", "dc1"), Listed("b", "dc2")}, kStart);
-  site.backoffs.Asked("a", milliseconds(3000), kStart);
+  site.backoffs.RecordBackoff("a", milliseconds(3000), kStart);
   EndpointCriteria criteria = MakeCriteria(nullptr, 17000);
   TimePoint during = kStart + milliseconds(2999);
   CHECK(site.selector.Select(criteria, kStart) == "b");
@@ -386,8 +386,8 @@
 TEST_CASE("when all endpoints back off, retry-after is the earliest end") {
   Site site;
   site.pool.SetListed({Listed("a", "dc1"), Listed("b", "dc2")}, kStart);
-  site.backoffs.Asked("a", milliseconds(5000), kStart);
-  site.backoffs.Asked("b", milliseconds(2000), kStart);
+  site.backoffs.RecordBackoff("a", milliseconds(5000), kStart);
+  site.backoffs.RecordBackoff("b", milliseconds(2000), kStart);
   EndpointCriteria criteria = MakeCriteria(nullptr, 0);
   TimePoint later = kStart + milliseconds(500);
   CHECK(site.selector.Select(criteria, later).empty());
@@ -397,7 +397,7 @@
   CHECK(retry_after == milliseconds(1500));
   CHECK(site.selector.Select(criteria, later + retry_after) == "b");
   // A limit and a back-off together block all endpoints.
-  site.limits.Named("b", 0.5, kStart);
+  site.limits.RecordLimit("b", 0.5, kStart);
   CHECK(site.selector.ReasonForNone(criteria, later) ==
         Result::kEndpointsBackOff);
 }
@@ -410,7 +410,7 @@
   endpoints.back().version = "v2";
   site.pool.SetListed(endpoints, kStart);
   site.rollouts.Ordered("service", "v2", std::chrono::seconds(20), kStart);
-  site.backoffs.Asked("a", milliseconds(3000), kStart);
+  site.backoffs.RecordBackoff("a", milliseconds(3000), kStart);
   EndpointCriteria criteria = MakeCriteria(nullptr, 0);
   criteria.side = ServiceRollouts::Side::kBaseline;
   CHECK(site.selector.Select(criteria, kStart).empty());
