--- a/daemon/gateway_chat.cc
+++ b/daemon/gateway_chat.cc
@@ -38,7 +38,7 @@
     choice->pin = SessionPin{organisation, named->model(), named->version()};
     return Outcome();
   }
-  if (!ReadSessionId(table.signing_keys(), id, &choice->pin) ||
+  if (!ParseSessionId(table.signing_keys(), id, &choice->pin) ||
       choice->pin.organisation != organisation) {
     return Outcome{Result::kBadSession, ""};
   }
--- a/leverwick/session.cc
+++ b/leverwick/session.cc
@@ -1,7 +1,8 @@
 // An id is base64url(mac | text), where text holds the pin's fields and a
-// nonce, each ended by a zero byte, and mac is HMAC-SHA-256 cut to 16 bytes.
-// Names can't hold a zero byte: the id would then read as other fields, so
-// MakeSessionId refuses nothing but ReadSessionId demands exactly four.
+// nonce, each terminated by a zero byte, and mac is HMAC-SHA-256 truncated to
+// 16 bytes. Names can't contain a zero byte: the id would then parse into other
+// fields. MakeSessionId doesn't check this; ParseSessionId requires exactly
+// four fields.
 
 #include "leverwick/session.h"
 
@@ -11,7 +12,7 @@
 namespace {
 
 constexpr size_t kMacBytes = 16;
-constexpr size_t kFields = 4;
+constexpr size_t kFieldCount = 4;
 
 std::vector<std::string> SplitFields(const std::string& text) {
   std::vector<std::string> fields;
@@ -25,8 +26,8 @@
   return fields;
 }
 
-bool Signed(const std::vector<const SigningKey*>& keys, const std::string& mac,
-            const std::string& text) {
+bool IsSignedByAny(const std::vector<const SigningKey*>& keys,
+                   const std::string& mac, const std::string& text) {
   for (const SigningKey* key : keys) {
     if (EqualInConstantTime(ShortMac(key->secret(), text), mac)) return true;
   }
@@ -46,14 +47,14 @@
   return Base64UrlEncode(ShortMac(key.secret(), text) + text);
 }
 
-bool ReadSessionId(const std::vector<const SigningKey*>& keys,
-                   const std::string& id, SessionPin* pin) {
+bool ParseSessionId(const std::vector<const SigningKey*>& keys,
+                    const std::string& id, SessionPin* pin) {
   std::string bytes;
   if (!Base64UrlDecode(id, &bytes) || bytes.size() <= kMacBytes) return false;
   std::string text = bytes.substr(kMacBytes);
-  if (!Signed(keys, bytes.substr(0, kMacBytes), text)) return false;
+  if (!IsSignedByAny(keys, bytes.substr(0, kMacBytes), text)) return false;
   std::vector<std::string> fields = SplitFields(text);
-  if (fields.size() != kFields) return false;
+  if (fields.size() != kFieldCount) return false;
   *pin = SessionPin{fields[0], fields[1], fields[2]};
   return true;
 }
--- a/leverwick/session.h
+++ b/leverwick/session.h
@@ -1,12 +1,12 @@
-// Session ids that carry their own pin.
+// Session ids that carry the session's pin.
 //
-// A session keeps the version it started on, and boxes keep nothing. So the id
-// itself names organisation, model and version, with a keyed hash; any box
-// that has the table can check it, also a fresh one in another data centre.
+// A session keeps the version it started on, and boxes keep no state for it.
+// The id itself contains the organisation, model and version, with a MAC; any
+// box that has the table can verify it, also a new one in another data centre.
 //
 //   std::string id = MakeSessionId(key, {"acme", "swift", "3"}, nonce);
 //   SessionPin pin;
-//   if (!ReadSessionId(keys, id, &pin)) ...  // forged, or an unknown key
+//   if (!ParseSessionId(keys, id, &pin)) ...  // forged, or an unknown key
 
 #ifndef LEVERWICK_SESSION_H_
 #define LEVERWICK_SESSION_H_
@@ -27,9 +27,9 @@
 std::string MakeSessionId(const SigningKey& key, const SessionPin& pin,
                           const std::string& nonce);
 
-// False when no key of `keys` made the id.
-bool ReadSessionId(const std::vector<const SigningKey*>& keys,
-                   const std::string& id, SessionPin* pin);
+// Returns false if the id was not made with a key of `keys`.
+bool ParseSessionId(const std::vector<const SigningKey*>& keys,
+                    const std::string& id, SessionPin* pin);
 
 }  // namespace leverwick
 
--- a/leverwick/testing/decisions_test.cc
+++ b/leverwick/testing/decisions_test.cc
@@ -233,18 +233,18 @@
   old.set_secret("fedcba9876543210");
   SessionPin pin;
   std::string id = MakeSessionId(key, {"acme", "swift", "3"}, "n1");
-  REQUIRE(ReadSessionId({&old, &key}, id, &pin));
+  REQUIRE(ParseSessionId({&old, &key}, id, &pin));
   CHECK(pin.organisation == "acme");
   CHECK(pin.model == "swift");
   CHECK(pin.version == "3");
-  CHECK(!ReadSessionId({&old}, id, &pin));
-  CHECK(!ReadSessionId({&key}, "", &pin));
-  CHECK(!ReadSessionId({&key}, "new", &pin));
+  CHECK(!ParseSessionId({&old}, id, &pin));
+  CHECK(!ParseSessionId({&key}, "", &pin));
+  CHECK(!ParseSessionId({&key}, "new", &pin));
   for (size_t i = 0; i < id.size(); ++i) {
     std::string forged = id;
     forged[i] = forged[i] == 'A' ? 'B' : 'A';
     // The last character's low bits carry nothing in base64.
-    bool same = ReadSessionId({&key}, forged, &pin) && i + 1 < id.size();
+    bool same = ParseSessionId({&key}, forged, &pin) && i + 1 < id.size();
     CHECK(!same);
   }
 }
