--- a/leverwick/routing.cc
+++ b/leverwick/routing.cc
@@ -1,6 +1,6 @@
-// A pinned session has one candidate, which must still be in force and
-// allowed: withdrawn beats pinned. Without a pin, stable versions that the row
-// allows and the caller named are candidates.
+// A pinned session has one candidate, which must still be in force and allowed:
+// a withdrawal takes precedence over a pin. Without a pin, the candidates are
+// the stable versions that the row allows and that match the requested model.
 
 #include "leverwick/routing.h"
 
@@ -11,16 +11,17 @@
 namespace leverwick {
 namespace {
 
-bool Named(const std::string& wanted, const Version& version) {
-  return wanted == kAnyModel || wanted == version.model() ||
-         wanted == VersionKey(version.model(), version.version());
+bool MatchesModel(const std::string& model, const Version& version) {
+  return model == kAnyModel || model == version.model() ||
+         model == VersionKey(version.model(), version.version());
 }
 
-bool KnownModel(const Table& table, const std::string& wanted) {
+bool IsKnownModel(const Table& table, const std::string& model) {
   std::vector<const Version*> versions = table.versions();
-  return std::any_of(
-      versions.begin(), versions.end(),
-      [&wanted](const Version* version) { return Named(wanted, *version); });
+  return std::any_of(versions.begin(), versions.end(),
+                     [&model](const Version* version) {
+                       return MatchesModel(model, *version);
+                     });
 }
 
 std::error_code FindPinned(const Table& table, const RouteRequest& request,
@@ -34,12 +35,12 @@
     return Result::kSessionWithdrawn;
   }
   if (!IsAllowed(*request.organisation, *version)) return Result::kNotAllowed;
-  if (!Named(request.model, *version)) return Result::kBadSession;
+  if (!MatchesModel(request.model, *version)) return Result::kBadSession;
   candidates->push_back(version);
   return {};
 }
 
-double ShareOf(const Rollout& rollout, const RolloutProgress& progress) {
+double StepShare(const Rollout& rollout, const RolloutProgress& progress) {
   int step = std::min(progress.step(), rollout.steps_size() - 1);
   return rollout.steps(step);
 }
@@ -58,11 +59,11 @@
                                std::vector<const Version*>* candidates) {
   candidates->clear();
   if (request.pin != nullptr) return FindPinned(table, request, candidates);
-  bool allowed_any = false;
+  bool any_allowed = false;
   for (const Version* version : table.versions()) {
-    if (!Named(request.model, *version)) continue;
+    if (!MatchesModel(request.model, *version)) continue;
     if (!IsAllowed(*request.organisation, *version)) continue;
-    allowed_any = true;
+    any_allowed = true;
     bool stable = version->state() == Version::STABLE;
     bool draining = version->state() == Version::DRAINING;
     if (stable || (draining && !request.new_session)) {
@@ -70,16 +71,16 @@
     }
   }
   if (!candidates->empty()) return {};
-  if (allowed_any) return Result::kNoEndpoint;
-  return KnownModel(table, request.model) ? Result::kNotAllowed
-                                          : Result::kUnknownModel;
+  if (any_allowed) return Result::kNoEndpoint;
+  return IsKnownModel(table, request.model) ? Result::kNotAllowed
+                                            : Result::kUnknownModel;
 }
 
 bool MayServe(const Table& table, const RouteRequest& request,
               const Version& version) {
   if (version.state() == Version::WITHDRAWN) return false;
   if (!IsAllowed(*request.organisation, version)) return false;
-  if (!Named(request.model, version)) return false;
+  if (!MatchesModel(request.model, version)) return false;
   if (request.pin != nullptr) {
     return request.pin->organisation == request.organisation->name() &&
            request.pin->model == version.model() &&
@@ -99,8 +100,8 @@
 
 const Version* ApplyRollouts(
     const Table& table, const Organisation& organisation, const Version& chosen,
-    const std::string& sticky,
-    const std::function<bool(const std::string&)>& tripped,
+    const std::string& sticky_key,
+    const std::function<bool(const std::string&)>& is_tripped,
     const Rollout** applied) {
   for (const Rollout* rollout : table.rollouts()) {
     if (rollout->model() != chosen.model()) continue;
@@ -110,9 +111,9 @@
     if (to == nullptr || to->state() == Version::WITHDRAWN) continue;
     if (!IsAllowed(organisation, *to)) continue;
     RolloutProgress progress = table.ProgressOf(rollout->name());
-    if (progress.tripped() || tripped(rollout->name())) continue;
-    double draw = UnitHash(rollout->name() + "/" + sticky);
-    if (draw >= ShareOf(*rollout, progress)) continue;
+    if (progress.tripped() || is_tripped(rollout->name())) continue;
+    double draw = UnitHash(rollout->name() + "/" + sticky_key);
+    if (draw >= StepShare(*rollout, progress)) continue;
     *applied = rollout;
     return to;
   }
--- a/leverwick/routing.h
+++ b/leverwick/routing.h
@@ -1,10 +1,10 @@
-// Which versions an organisation's request may run on.
+// Finds the versions that an organisation's request may run on.
 //
-// The allowed set is the organisation's row, crossed with the versions in
-// force, the session's pin, and what a box that is cut off may still serve.
-// A candidate version gets work only through its roll-out: the share of the
-// step is decided by a hash of the session or request, so that boxes agree
-// without talking.
+// The allowed versions are those of the organisation's row, restricted to the
+// versions in force and the session's pin. A candidate version gets requests
+// only through its roll-out. A hash of the session or request decides whether
+// it belongs to the step's share, so that boxes agree without exchanging
+// messages.
 
 #ifndef LEVERWICK_ROUTING_H_
 #define LEVERWICK_ROUTING_H_
@@ -19,35 +19,36 @@
 
 namespace leverwick {
 
-// The word callers give as model to leave the choice to the system.
+// The model name with which callers leave the choice to the system.
 constexpr char kAnyModel[] = "auto";
 
-// Whether the organisation's row allows the version.
+// Returns whether the organisation's row allows the version.
 bool IsAllowed(const Organisation& organisation, const Version& version);
 
 struct RouteRequest {
   const Organisation* organisation = nullptr;
   std::string model;                // a model, model@version or kAnyModel
   const SessionPin* pin = nullptr;  // null: no session
-  bool new_session = false;         // draining versions take none
+  bool new_session = false;         // draining versions accept none
 };
 
-// The versions that may take the request by the table alone; roll-outs are
-// applied afterwards. An error when there is none.
+// Finds the versions that may serve the request by the table alone; roll-outs
+// are applied afterwards. Returns an error if there is none.
 std::error_code FindCandidates(const Table& table, const RouteRequest& request,
                                std::vector<const Version*>* candidates);
 
-// The version that replaces `chosen` by a roll-out; null when none does.
-// `sticky` is the session's or request's id. `tripped` tells whether the guard
-// of this box stopped a roll-out.
+// Returns the version that replaces `chosen` by a roll-out and stores that
+// roll-out in `*applied`; null if none does. `sticky_key` is the session's or
+// request's id. `is_tripped` returns whether this box's regression detector has
+// stopped a roll-out.
 const Version* ApplyRollouts(
     const Table& table, const Organisation& organisation, const Version& chosen,
-    const std::string& sticky,
-    const std::function<bool(const std::string& rollout)>& tripped,
+    const std::string& sticky_key,
+    const std::function<bool(const std::string& rollout)>& is_tripped,
     const Rollout** applied);
 
-// A plain, slow form of the whole rule, which tests hold against
-// FindCandidates: may this version serve this request?
+// Returns whether the version may serve the request. This is a plain, slow form
+// of the rule, with which tests compare FindCandidates.
 bool MayServe(const Table& table, const RouteRequest& request,
               const Version& version);
 
