--- a/bench/quality.cc
+++ b/bench/quality.cc
@@ -298,8 +298,8 @@
     Totals one;
     expected_ = plan.expected_quality;
     bool weak = AskVersion(plan.first, b, k, request_class, &one);
-    if (weak && plan.better != nullptr) {
-      AskVersion(plan.better, b, k, request_class, &one);
+    if (weak && plan.second != nullptr) {
+      AskVersion(plan.second, b, k, request_class, &one);
       // The caller's answer is the second; only it speaks for the plan.
       if (!pending_.empty() && pending_.back().due == now_ + kRatingDelay) {
         pending_.back().final_answer = true;
@@ -318,7 +318,7 @@
       box.estimates.Rated(rating.version_key, rating.request_class,
                           rating.confident, rating.rating);
       if (rating.final_answer) {
-        box.planner.Rated("o" + std::to_string(rating.organisation),
+        box.planner.RecordRating("o" + std::to_string(rating.organisation),
                           rating.expected, rating.rating);
       }
       pending_.pop_front();
--- a/daemon/gateway_chat.cc
+++ b/daemon/gateway_chat.cc
@@ -83,10 +83,10 @@
   request.draw = UnitHash("explore/" + exchange->id);
   Plan plan = node_->planner.Choose(request, live);
   choice->first = plan.first;
-  choice->better = plan.better;
+  choice->better = plan.second;
   choice->expected_quality = plan.expected_quality;
-  exchange->bill.set_why(plan.why);
-  exchange->trace["why"] = plan.why;
+  exchange->bill.set_why(plan.reason);
+  exchange->trace["why"] = plan.reason;
   if (choice->has_pin || exchange->cut_off) return Outcome();
   const Rollout* rollout = nullptr;
   const Version* to = ApplyRollouts(
@@ -101,7 +101,7 @@
   choice->replaced = choice->first;
   choice->first = to;
   choice->rollout = rollout;
-  exchange->bill.set_why(plan.why + "; roll-out " + rollout->name());
+  exchange->bill.set_why(plan.reason + "; roll-out " + rollout->name());
   exchange->trace["rollout"] = rollout->name();
   return Outcome();
 }
--- a/daemon/platform_watcher.cc
+++ b/daemon/platform_watcher.cc
@@ -289,7 +289,7 @@
   node_->estimates.Rated(about.version_key, about.request_class,
                          about.confident, result.rating);
   if (about.expected >= 0) {
-    node_->planner.Rated(about.organisation, about.expected, result.rating);
+    node_->planner.RecordRating(about.organisation, about.expected, result.rating);
   }
   if (about.rollout.empty()) return;
   const Rollout* rollout = nullptr;
--- a/leverwick/planner.cc
+++ b/leverwick/planner.cc
@@ -1,6 +1,6 @@
-// This is a Lagrangian relaxation of "least cost with mean quality at the
-// target", solved on line: the multiplier is the price of quality, moved a
-// little by each decision's distance from the target. Costs are divided by the
+// This is a Lagrangian relaxation of "minimum cost with mean quality at the
+// target", solved online: the multiplier is the price of quality, adjusted
+// after each decision by its distance from the target. Costs are divided by the
 // organisation's mean cost, so that one step size fits all price lists.
 
 #include "leverwick/planner.h"
@@ -17,21 +17,23 @@
 constexpr int64_t kShortPrompt = 200;    // tokens
 constexpr int64_t kMediumPrompt = 2000;  // tokens
 constexpr uint32_t kTaskClasses = 8;
+// Prices are per million tokens.
 constexpr double kPerMillion = 1e-6;
-// The price moves fast at first and settles.
+// Step size of the quality price. It decays from kFirstStep + kLastStep to
+// kLastStep, so that the price moves fast at first and then settles.
 constexpr double kFirstStep = 1;
 constexpr double kLastStep = 0.05;
-constexpr double kSettling = 100;  // decisions
-constexpr double kLeastPrice = 1e-3;
-constexpr double kMostPrice = 1e3;
-constexpr double kCostMemory = 0.02;
-// Aim a little above, for the estimates are noisy.
-constexpr double kMargin = 0.002;
-// Of the mean difference of expected and actual ratings, and its bound.
-constexpr double kExcessMemory = 0.01;
-constexpr double kMostExcess = 0.15;
-// A version counts as known after this many ratings of a class.
-constexpr double kKnownRatings = 30;
+constexpr double kStepDecayDecisions = 100;
+constexpr double kMinPrice = 1e-3;
+constexpr double kMaxPrice = 1e3;
+constexpr double kCostSmoothing = 0.02;
+// Added to the target, because the estimates are noisy.
+constexpr double kQualityMargin = 0.002;
+// For the mean difference of expected and actual ratings.
+constexpr double kBiasSmoothing = 0.01;
+constexpr double kMaxBias = 0.15;
+// A version with fewer ratings in a class is explored.
+constexpr double kMinKnownRatings = 30;
 
 uint32_t LengthClass(int64_t prompt_tokens) {
   if (prompt_tokens < kShortPrompt) return 0;
@@ -40,9 +42,9 @@
 
 std::string Describe(const Plan& plan) {
   std::string text = VersionKey(plan.first->model(), plan.first->version());
-  if (plan.better == nullptr) return text;
+  if (plan.second == nullptr) return text;
   return text + ", then " +
-         VersionKey(plan.better->model(), plan.better->version()) + " if weak";
+         VersionKey(plan.second->model(), plan.second->version()) + " if weak";
 }
 
 }  // namespace
@@ -56,11 +58,11 @@
   return LengthClass(prompt_tokens) + 3 * (streamed ? 1u : 0u) + 6 * task_class;
 }
 
-std::vector<Planner::Option> Planner::Options(
+std::vector<Planner::Candidate> Planner::EvaluateCandidates(
     const PlanRequest& request,
-    const std::vector<const Version*>& candidates) const {
-  std::vector<Option> options;
-  for (const Version* version : candidates) {
+    const std::vector<const Version*>& versions) const {
+  std::vector<Candidate> candidates;
+  for (const Version* version : versions) {
     Outlook outlook = estimates_->OutlookOf(*version, request.request_class);
     double completion = outlook.completion_tokens;
     if (request.max_tokens > 0) {
@@ -70,110 +72,112 @@
     double cost = kPerMillion * (static_cast<double>(request.prompt_tokens) *
                                      version->prompt_price() +
                                  completion * version->completion_price());
-    options.push_back(Option{version, outlook, cost});
+    candidates.push_back(Candidate{version, outlook, cost});
   }
-  return options;
+  return candidates;
 }
 
-Plan Planner::Single(const Option& option) {
+Plan Planner::SinglePlan(const Candidate& candidate) {
   Plan plan;
-  plan.first = option.version;
-  plan.expected_cost = option.cost;
-  plan.expected_quality = option.outlook.quality;
+  plan.first = candidate.version;
+  plan.expected_cost = candidate.cost;
+  plan.expected_quality = candidate.outlook.quality;
   return plan;
 }
 
-Plan Planner::Cascade(const Option& first, const Option& better) {
+Plan Planner::CascadePlan(const Candidate& first, const Candidate& second) {
   double weak = first.outlook.weak_share;
   Plan plan;
   plan.first = first.version;
-  plan.better = better.version;
-  plan.expected_cost = first.cost + weak * better.cost;
+  plan.second = second.version;
+  plan.expected_cost = first.cost + weak * second.cost;
   plan.expected_quality = (1 - weak) * first.outlook.confident_quality +
-                          weak * better.outlook.quality;
+                          weak * second.outlook.quality;
   return plan;
 }
 
-std::vector<Plan> Planner::Plans(const PlanRequest& request,
-                                 const std::vector<Option>& options) {
+std::vector<Plan> Planner::EnumeratePlans(
+    const PlanRequest& request, const std::vector<Candidate>& candidates) {
   std::vector<Plan> plans;
-  for (const Option& option : options) plans.push_back(Single(option));
+  for (const Candidate& only : candidates) plans.push_back(SinglePlan(only));
   if (request.streamed) return plans;
-  for (const Option& first : options) {
-    for (const Option& better : options) {
-      if (better.outlook.quality <= first.outlook.quality) continue;
-      if (better.cost <= first.cost) continue;
-      plans.push_back(Cascade(first, better));
+  for (const Candidate& first : candidates) {
+    for (const Candidate& second : candidates) {
+      if (second.outlook.quality <= first.outlook.quality) continue;
+      if (second.cost <= first.cost) continue;
+      plans.push_back(CascadePlan(first, second));
     }
   }
   return plans;
 }
 
-const Planner::Option* Planner::Explore(const PlanRequest& request,
-                                        const std::vector<Option>& options) {
+const Planner::Candidate* Planner::ChooseExploration(
+    const PlanRequest& request, const std::vector<Candidate>& candidates) {
   if (request.draw >= request.organisation->exploration()) return nullptr;
-  const Option* least_known = nullptr;
-  double fewest = kKnownRatings;
-  for (const Option& option : options) {
-    if (option.outlook.ratings >= fewest) continue;
-    least_known = &option;
-    fewest = option.outlook.ratings;
+  const Candidate* least_known = nullptr;
+  double fewest = kMinKnownRatings;
+  for (const Candidate& candidate : candidates) {
+    if (candidate.outlook.ratings >= fewest) continue;
+    least_known = &candidate;
+    fewest = candidate.outlook.ratings;
   }
   return least_known;
 }
 
-Planner::Shard& Planner::ShardOf(const std::string& organisation) {
+Planner::Shard& Planner::ShardFor(const std::string& organisation) {
   return shards_[StableHash(organisation) % kShards];
 }
 
-void Planner::Rated(const std::string& organisation, double expected,
-                    double rating) {
-  Shard& shard = ShardOf(organisation);
+void Planner::RecordRating(const std::string& organisation, double expected,
+                           double rating) {
+  Shard& shard = ShardFor(organisation);
   std::lock_guard<std::mutex> lock(shard.mutex);
-  Price& price = shard.prices[organisation];
-  price.excess += kExcessMemory * (expected - rating - price.excess);
-  price.excess = std::clamp(price.excess, -kMostExcess, kMostExcess);
+  OrganisationState& state = shard.organisations[organisation];
+  state.quality_bias +=
+      kBiasSmoothing * (expected - rating - state.quality_bias);
+  state.quality_bias = std::clamp(state.quality_bias, -kMaxBias, kMaxBias);
 }
 
 Plan Planner::Choose(const PlanRequest& request,
-                     const std::vector<const Version*>& candidates) {
-  std::vector<Option> options = Options(request, candidates);
-  if (options.empty()) return Plan();
-  std::vector<Plan> plans = Plans(request, options);
+                     const std::vector<const Version*>& versions) {
+  std::vector<Candidate> candidates = EvaluateCandidates(request, versions);
+  if (candidates.empty()) return Plan();
+  std::vector<Plan> plans = EnumeratePlans(request, candidates);
   const std::string& name = request.organisation->name();
-  Shard& shard = ShardOf(name);
+  Shard& shard = ShardFor(name);
   std::lock_guard<std::mutex> lock(shard.mutex);
-  Price& price = shard.prices[name];
-  if (price.cost_scale == 0) price.cost_scale = plans[0].expected_cost + 1e-12;
-  const Option* explored = Explore(request, options);
-  auto score = [&price](const Plan& plan) {
-    return plan.expected_cost / price.cost_scale -
-           price.quality * plan.expected_quality;
+  OrganisationState& state = shard.organisations[name];
+  if (state.mean_cost == 0) state.mean_cost = plans[0].expected_cost + 1e-12;
+  const Candidate* explored = ChooseExploration(request, candidates);
+  auto score = [&state](const Plan& plan) {
+    return plan.expected_cost / state.mean_cost -
+           state.quality_price * plan.expected_quality;
   };
   Plan chosen = explored != nullptr
-                    ? Single(*explored)
+                    ? SinglePlan(*explored)
                     : *std::min_element(plans.begin(), plans.end(),
                                         [&score](const Plan& a, const Plan& b) {
                                           return score(a) < score(b);
                                         });
-  chosen.why = Describe(chosen) +
-               (explored != nullptr ? ": to learn its quality"
-                                    : ": cheapest expected to meet the target");
-  double lacking = request.organisation->quality_target() + kMargin +
-                   price.excess - chosen.expected_quality;
-  double step =
-      kLastStep + kFirstStep * kSettling / (kSettling + price.decisions);
-  price.decisions += 1;
-  // With the best plan taken already, a higher price would change nothing now
-  // and take long to come down again.
-  bool best =
+  chosen.reason =
+      Describe(chosen) + (explored != nullptr
+                              ? ": to learn its quality"
+                              : ": cheapest expected to meet the target");
+  double shortfall = request.organisation->quality_target() + kQualityMargin +
+                     state.quality_bias - chosen.expected_quality;
+  double step = kLastStep + kFirstStep * kStepDecayDecisions /
+                                (kStepDecayDecisions + state.decision_count);
+  state.decision_count += 1;
+  // If the best plan is taken already, a higher price would change nothing now
+  // and take long to fall again.
+  bool is_best =
       std::none_of(plans.begin(), plans.end(), [&chosen](const Plan& plan) {
         return plan.expected_quality > chosen.expected_quality;
       });
-  if (best && lacking > 0) lacking = 0;
-  price.quality = std::clamp(price.quality * std::exp(step * lacking),
-                             kLeastPrice, kMostPrice);
-  price.cost_scale += kCostMemory * (chosen.expected_cost - price.cost_scale);
+  if (is_best && shortfall > 0) shortfall = 0;
+  state.quality_price = std::clamp(
+      state.quality_price * std::exp(step * shortfall), kMinPrice, kMaxPrice);
+  state.mean_cost += kCostSmoothing * (chosen.expected_cost - state.mean_cost);
   return chosen;
 }
 
--- a/leverwick/planner.h
+++ b/leverwick/planner.h
@@ -1,18 +1,20 @@
-// Which version answers a request, and which one is asked if that is weak.
+// Chooses the version that serves a request, and a second one that is asked if
+// the first response is weak.
 //
-// Each organisation has a quality target, the mean rating it wants. The
-// planner looks for the cheapest way to meet it: every plan, one version or
-// for unary requests a cheap one followed by a better one when its answer is
-// weak, has an expected cost and an expected rating for the request's class.
-// It takes the plan with the least cost - price * rating, where the
-// organisation's price of quality rises while the ratings expected of what was
-// chosen lie under the target and falls while they lie above. So cheap
-// versions take the classes they do well, and the strong ones the rest. The
-// ratings that do come correct an expectation that is off as a whole.
+// Each organisation has a quality target, the mean rating it wants. The planner
+// looks for the cheapest way to meet it. A plan is one version or, for unary
+// requests, a cascade: a cheap version, followed by a better one if its
+// response is weak. Every plan has an expected cost and an expected rating for
+// the request's class. The planner takes the plan with the minimum of cost -
+// price * rating, where the organisation's price of quality rises while the
+// expected ratings of the chosen plans are below the target and falls while
+// they are above it. Cheap versions therefore get the classes they do well, and
+// strong versions the rest. Actual ratings correct a bias of the expectations.
 //
 //   Planner planner(&estimates);
-//   Plan plan = planner.Choose(request, candidates);
-//   planner.Rated("acme", plan.expected_quality, rating);  // perhaps, later
+//   Plan plan = planner.Choose(request, versions);
+//   // If a rating arrives later:
+//   planner.RecordRating("acme", plan.expected_quality, rating);
 
 #ifndef LEVERWICK_PLANNER_H_
 #define LEVERWICK_PLANNER_H_
@@ -29,11 +31,11 @@
 
 namespace leverwick {
 
-// Request classes: by length, streamed or not, and the caller's task word.
+// Returns the class of a request: by prompt length, streamed or not, and a hash
+// of the task that the caller names.
 uint32_t RequestClass(int64_t prompt_tokens, bool streamed,
                       const std::string& task);
 
-// What the planner needs to know of a request.
 struct PlanRequest {
   const Organisation* organisation = nullptr;
   uint32_t request_class = 0;
@@ -44,56 +46,58 @@
 };
 
 struct Plan {
-  const Version* first = nullptr;   // null: no candidate
-  const Version* better = nullptr;  // asked when the first answer is weak
+  const Version* first = nullptr;   // null: no version
+  const Version* second = nullptr;  // asked if the first response is weak
   double expected_cost = 0;
   double expected_quality = 0;
-  std::string why;  // one sentence for `explain`
+  std::string reason;  // one sentence, shown by `explain`
 };
 
-// Thread-safe; organisations are sharded.
+// Thread-safe; locks are sharded by organisation.
 class Planner {
  public:
   explicit Planner(const Estimates* estimates) : estimates_(estimates) {}
 
-  // Chooses among `candidates`, all of which the organisation may use.
+  // Chooses among `versions`, all of which the organisation must be allowed to
+  // use.
   Plan Choose(const PlanRequest& request,
-              const std::vector<const Version*>& candidates);
+              const std::vector<const Version*>& versions);
 
-  // A rating came of an answer whose plan expected `expected`.
-  void Rated(const std::string& organisation, double expected, double rating);
+  // Records the rating of a response whose plan expected `expected`.
+  void RecordRating(const std::string& organisation, double expected,
+                    double rating);
 
  private:
-  struct Price {
-    double quality = 1;  // cost units a rating of 1 is worth
-    double cost_scale = 0;
-    double decisions = 0;
-    double excess = 0;  // mean of expected less actual rating
+  struct OrganisationState {
+    double quality_price = 1;  // value of a rating of 1, in units of mean_cost
+    double mean_cost = 0;
+    double decision_count = 0;
+    double quality_bias = 0;  // mean of expected minus actual rating
   };
   struct Shard {
     std::mutex mutex;
-    std::map<std::string, Price> prices;
+    std::map<std::string, OrganisationState> organisations;
   };
   static constexpr size_t kShards = 16;
 
-  // One version with what is expected of it for a request.
-  struct Option {
+  // A version with its expected cost and quality for a request.
+  struct Candidate {
     const Version* version;
     Outlook outlook;
     double cost;
   };
 
-  std::vector<Option> Options(
+  std::vector<Candidate> EvaluateCandidates(
       const PlanRequest& request,
-      const std::vector<const Version*>& candidates) const;
-  static Plan Single(const Option& option);
-  static Plan Cascade(const Option& first, const Option& better);
-  static std::vector<Plan> Plans(const PlanRequest& request,
-                                 const std::vector<Option>& options);
-  static const Option* Explore(const PlanRequest& request,
-                               const std::vector<Option>& options);
-
-  Shard& ShardOf(const std::string& organisation);
+      const std::vector<const Version*>& versions) const;
+  static Plan SinglePlan(const Candidate& candidate);
+  static Plan CascadePlan(const Candidate& first, const Candidate& second);
+  static std::vector<Plan> EnumeratePlans(
+      const PlanRequest& request, const std::vector<Candidate>& candidates);
+  static const Candidate* ChooseExploration(
+      const PlanRequest& request, const std::vector<Candidate>& candidates);
+
+  Shard& ShardFor(const std::string& organisation);
 
   const Estimates* const estimates_;
   std::array<Shard, kShards> shards_;
