--- a/daemon/gateway_chat.cc
+++ b/daemon/gateway_chat.cc
@@ -38,7 +38,7 @@
     choice->pin = SessionPin{organisation, named->model(), named->version()};
     return Outcome();
   }
-  if (!ReadSessionId(table.signing_keys(), id, &choice->pin) ||
+  if (!ParseSessionId(table.signing_keys(), id, &choice->pin) ||
       choice->pin.organisation != organisation) {
     return Outcome{Result::kBadSession, ""};
   }
@@ -83,16 +83,16 @@
   request.draw = UnitHash("explore/" + exchange->id);
   Plan plan = node_->planner.Choose(request, live);
   choice->first = plan.first;
-  choice->better = plan.better;
+  choice->better = plan.second;
   choice->expected_quality = plan.expected_quality;
-  exchange->bill.set_why(plan.why);
-  exchange->trace["why"] = plan.why;
+  exchange->bill.set_why(plan.reason);
+  exchange->trace["why"] = plan.reason;
   if (choice->has_pin || exchange->cut_off) return Outcome();
   const Rollout* rollout = nullptr;
   const Version* to = ApplyRollouts(
       *exchange->table, *exchange->organisation, *plan.first, exchange->id,
       [this](const std::string& name) {
-        return node_->guard.Tripped(name, nullptr);
+        return node_->guard.IsTripped(name, nullptr);
       },
       &rollout);
   if (to == nullptr || !node_->endpoints.HasUsable(KeyOf(*to), Clock::now())) {
@@ -101,7 +101,7 @@
   choice->replaced = choice->first;
   choice->first = to;
   choice->rollout = rollout;
-  exchange->bill.set_why(plan.why + "; roll-out " + rollout->name());
+  exchange->bill.set_why(plan.reason + "; roll-out " + rollout->name());
   exchange->trace["rollout"] = rollout->name();
   return Outcome();
 }
@@ -164,10 +164,11 @@
       answer.confidence < node_->settings.requests().weak_answer();
   bool in_rollout = choice.rollout != nullptr && &version == choice.first;
   if (in_rollout) {
-    node_->guard.Answered(choice.rollout->name(), LimitsOf(*choice.rollout),
-                          node_->estimates.StatsFor(KeyOf(*choice.replaced),
-                                                    exchange.request_class),
-                          observation);
+    node_->guard.RecordResponse(
+        choice.rollout->name(), ToRegressionLimits(*choice.rollout),
+        node_->estimates.StatsFor(KeyOf(*choice.replaced),
+                                  exchange.request_class),
+        observation);
   }
   node_->estimates.RecordResponse(KeyOf(version), exchange.request_class,
                                   observation);
--- a/daemon/node.h
+++ b/daemon/node.h
@@ -12,10 +12,10 @@
 #include "leverwick/bills.h"
 #include "leverwick/claims.h"
 #include "leverwick/endpoint_pool.h"
-#include "leverwick/guard.h"
 #include "leverwick/membership.h"
 #include "leverwick/planner.h"
 #include "leverwick/rate_limiter.h"
+#include "leverwick/regression_detector.h"
 #include "leverwick/retry_budget.h"
 #include "leverwick/table.h"
 #include "leverwick/table_freshness.h"
@@ -49,7 +49,7 @@
   Membership membership;
   EndpointPool endpoints;
   VersionEstimates estimates;
-  Guard guard;
+  RegressionDetector guard;
   RateLimiter limiter;
   Planner planner;
   RetryBudget retries;
--- a/daemon/platform_watcher.cc
+++ b/daemon/platform_watcher.cc
@@ -289,15 +289,16 @@
   node_->estimates.RecordRating(about.version_key, about.request_class,
                                 about.confident, result.rating);
   if (about.expected >= 0) {
-    node_->planner.Rated(about.organisation, about.expected, result.rating);
+    node_->planner.RecordRating(about.organisation, about.expected,
+                                result.rating);
   }
   if (about.rollout.empty()) return;
   const Rollout* rollout = nullptr;
   std::shared_ptr<const Table> table = node_->tables.table();
   rollout = table->FindRollout(about.rollout);
   if (rollout == nullptr) return;
-  node_->guard.Rated(
-      about.rollout, LimitsOf(*rollout),
+  node_->guard.RecordRating(
+      about.rollout, ToRegressionLimits(*rollout),
       node_->estimates.StatsFor(about.baseline_key, about.request_class),
       result.rating);
 }
--- a/daemon/relay.h
+++ b/daemon/relay.h
@@ -31,12 +31,12 @@
 #include "leverwick/endpoint_selector.h"
 #include "leverwick/engine_loads.h"
 #include "leverwick/escalation_policy.h"
-#include "leverwick/guard.h"
 #include "leverwick/key_validity.h"
 #include "leverwick/model_cascade.h"
 #include "leverwick/poison_requests.h"
 #include "leverwick/read_proof.h"
 #include "leverwick/recent_refusals.h"
+#include "leverwick/regression_detector.h"
 #include "leverwick/request_sampler.h"
 #include "leverwick/retry_budget.h"
 #include "leverwick/send_eligibility.h"
@@ -93,7 +93,7 @@
   SlowStart* slow_start() { return &slow_start_; }
   LimitWatch* limits() { return &limits_; }
   ServiceRollouts* rollouts() { return &rollouts_; }
-  Guard* guard() { return &guard_; }
+  RegressionDetector* guard() { return &guard_; }
   PoisonRequests* poison() { return &poison_; }
   EndpointEnds* ends() { return &ends_; }
   const VersionWatch* watch() const { return &watch_; }
@@ -158,7 +158,7 @@
   const KeyValidityPolicy& key_trust_;
   ServiceRollouts rollouts_;
   VersionEstimates estimates_;
-  Guard guard_;
+  RegressionDetector guard_;
   VersionWatch watch_;
   ModelCascade cascade_;
   EscalationPolicy escalation_;
--- a/daemon/version_watch.h
+++ b/daemon/version_watch.h
@@ -28,7 +28,7 @@
 #include <string>
 
 #include "daemon/endpoint_directory.h"
-#include "leverwick/guard.h"
+#include "leverwick/regression_detector.h"
 #include "leverwick/service_rollouts.h"
 #include "leverwick/version_estimates.h"
 
@@ -55,7 +55,7 @@
 // Not thread-safe.
 class VersionWatch {
  public:
-  VersionWatch(VersionEstimates* estimates, Guard* guard,
+  VersionWatch(VersionEstimates* estimates, RegressionDetector* guard,
                ServiceRollouts* rollouts, const EndpointDirectory* directory)
       : estimates_(estimates),
         guard_(guard),
@@ -105,12 +105,12 @@
   // How streams of a service's other versions have ended.
   VersionStats& EndsOf(const std::string& service) { return ends_[service]; }
   // A time of the target's that is slow beyond `bound`, or not.
-  void Timed(const WatchedTry& tried, TimeMeasure measure, Seconds time,
+  void Timed(const WatchedTry& tried, TimingMetric measure, Seconds time,
              Seconds bound);
   void CheckTrip(const WatchedTry& tried);
 
   VersionEstimates* const estimates_;
-  Guard* const guard_;
+  RegressionDetector* const guard_;
   ServiceRollouts* const rollouts_;
   const EndpointDirectory* const directory_;
   std::map<std::string, Quantile> paces_;   // fastest tenth, "service/model"
--- a/leverwick/endpoint_selector.cc
+++ b/leverwick/endpoint_selector.cc
@@ -63,7 +63,7 @@
 std::string EndpointSelector::SelectOnSide(
     Side side, const EndpointCriteria& criteria,
     const std::set<std::string>& excluded, TimePoint now) const {
-  std::string target = facts_.rollouts->TargetOf(criteria.service);
+  std::string target = facts_.rollouts->TargetFor(criteria.service);
   auto allowed = [&](const ListedEndpoint& endpoint) {
     if (!IsEligible(endpoint, criteria)) return false;
     if (!facts_.gates->IsEligible(endpoint, criteria.gates, now)) return false;
@@ -85,16 +85,17 @@
   // which are most.
   if (rollouts.MayUseTarget(service)) return false;
   return !facts_.pool->AnyListed(service, [&](const ListedEndpoint& endpoint) {
-    return !rollouts.IsBad(service, endpoint.version);
+    return !rollouts.IsUnhealthy(service, endpoint.version);
   });
 }
 
 bool EndpointSelector::IsEligible(const ListedEndpoint& endpoint,
                                   const EndpointCriteria& criteria) const {
-  bool unhealthy = facts_.rollouts->IsBad(criteria.service, endpoint.version);
+  bool unhealthy =
+      facts_.rollouts->IsUnhealthy(criteria.service, endpoint.version);
   bool is_fallback =
       criteria.allow_unhealthy_versions &&
-      endpoint.version != facts_.rollouts->TargetOf(criteria.service);
+      endpoint.version != facts_.rollouts->TargetFor(criteria.service);
   return !facts_.drained->IsDrained(endpoint.data_centre) &&
          (!unhealthy || is_fallback) &&
          criteria.homes.Allows(regions_.RegionFor(endpoint.data_centre));
--- a/leverwick/testing/decisions_test.cc
+++ b/leverwick/testing/decisions_test.cc
@@ -6,8 +6,8 @@
 #include <random>
 
 #include "leverwick/digest.h"
-#include "leverwick/guard.h"
 #include "leverwick/planner.h"
+#include "leverwick/regression_detector.h"
 #include "leverwick/routing.h"
 #include "leverwick/testing/table_builder.h"
 #include "leverwick/version_estimates.h"
@@ -183,16 +183,17 @@
   std::normal_distribution<double> noise(0, 1);
   auto responses_until_trip = [&](double errors, double latency,
                                   double rating) {
-    Guard guard("a");
+    RegressionDetector guard("a");
     for (int i = 0; i < 3000; ++i) {
       Observation observation;
       observation.error = std::generate_canonical<double, 32>(random) < errors;
       observation.latency =
           Seconds(latency * std::exp(noise(random) * std::sqrt(0.1)));
-      guard.Answered("r", GuardLimits(), HealthyBaseline(), observation);
-      guard.Rated("r", GuardLimits(), HealthyBaseline(),
-                  rating + noise(random) * std::sqrt(0.02));
-      if (guard.Tripped("r", nullptr)) return i;
+      guard.RecordResponse("r", RegressionLimits(), HealthyBaseline(),
+                           observation);
+      guard.RecordRating("r", RegressionLimits(), HealthyBaseline(),
+                         rating + noise(random) * std::sqrt(0.02));
+      if (guard.IsTripped("r", nullptr)) return i;
     }
     return -1;
   };
@@ -206,27 +207,27 @@
 }
 
 TEST_CASE("observations of several boxes add up, and a trip is permanent") {
-  Guard a("a");
-  Guard b("b");
+  RegressionDetector a("a");
+  RegressionDetector b("b");
   Observation bad;
   bad.error = true;
   for (int i = 0; i < 5; ++i) {
-    a.Answered("r", GuardLimits(), HealthyBaseline(), bad);
-    b.Answered("r", GuardLimits(), HealthyBaseline(), bad);
+    a.RecordResponse("r", RegressionLimits(), HealthyBaseline(), bad);
+    b.RecordResponse("r", RegressionLimits(), HealthyBaseline(), bad);
   }
-  CHECK(!a.Tripped("r", nullptr));
-  for (const GuardSum& sum : b.own()) a.Merge(sum);
+  CHECK(!a.IsTripped("r", nullptr));
+  for (const GuardSum& sum : b.own_sums()) a.Merge(sum);
   std::string why;
-  CHECK(a.Tripped("r", &why));
+  CHECK(a.IsTripped("r", &why));
   CHECK(why == "more errors");
   Observation good;
   good.latency = Seconds(0.5);
   for (int i = 0; i < 1000; ++i) {
-    a.Answered("r", GuardLimits(), HealthyBaseline(), good);
+    a.RecordResponse("r", RegressionLimits(), HealthyBaseline(), good);
   }
-  CHECK(a.Tripped("r", nullptr));
+  CHECK(a.IsTripped("r", nullptr));
   b.Trip("r", "told");
-  CHECK(b.Tripped("r", nullptr));
+  CHECK(b.IsTripped("r", nullptr));
 }
 
 TEST_CASE("session ids can be parsed but not forged") {
@@ -236,18 +237,19 @@
   old.set_secret("fedcba9876543210");
   SessionPin pin;
   std::string id = MakeSessionId(key, {"acme", "swift", "3"}, "n1");
-  REQUIRE(ReadSessionId({&old, &key}, id, &pin));
+  REQUIRE(ParseSessionId({&old, &key}, id, &pin));
   CHECK(pin.organisation == "acme");
   CHECK(pin.model == "swift");
   CHECK(pin.version == "3");
-  CHECK(!ReadSessionId({&old}, id, &pin));
-  CHECK(!ReadSessionId({&key}, "", &pin));
-  CHECK(!ReadSessionId({&key}, "new", &pin));
+  CHECK(!ParseSessionId({&old}, id, &pin));
+  CHECK(!ParseSessionId({&key}, "", &pin));
+  CHECK(!ParseSessionId({&key}, "new", &pin));
   for (size_t i = 0; i < id.size(); ++i) {
     std::string forged = id;
     forged[i] = forged[i] == 'A' ? 'B' : 'A';
     // The low bits of the last base64 character carry no data.
-    bool is_accepted = ReadSessionId({&key}, forged, &pin) && i + 1 < id.size();
+    bool is_accepted =
+        ParseSessionId({&key}, forged, &pin) && i + 1 < id.size();
     CHECK(!is_accepted);
   }
 }
--- a/leverwick/testing/endpoint_selector_test.cc
+++ b/leverwick/testing/endpoint_selector_test.cc
@@ -229,10 +229,12 @@
   }
   site.pool.SetListed(endpoints, kStart);
   auto order = [&](const char* version) {
-    site.rollouts.Ordered("service", version, std::chrono::seconds(20), kStart);
+    site.rollouts.RecordOrder("service", version, std::chrono::seconds(20),
+                              kStart);
   };
   order("v2");
-  site.rollouts.Learned({"service", "v2", RolloutStep::kRolledBack}, kStart);
+  site.rollouts.ApplyRecord({"service", "v2", RolloutStep::kRolledBack},
+                            kStart);
   order("v3");
   EndpointCriteria criteria = MakeCriteria(nullptr, 0);
   criteria.side = ServiceRollouts::Side::kBaseline;
@@ -260,9 +262,10 @@
   }
   site.pool.SetListed(endpoints, kStart);
   for (const char* version : {"v2", "v1"}) {
-    site.rollouts.Ordered("service", version, std::chrono::seconds(4), kStart);
-    site.rollouts.Learned({"service", version, RolloutStep::kRolledBack},
-                          kStart);
+    site.rollouts.RecordOrder("service", version, std::chrono::seconds(4),
+                              kStart);
+    site.rollouts.ApplyRecord({"service", version, RolloutStep::kRolledBack},
+                              kStart);
   }
   EndpointCriteria criteria = MakeCriteria(nullptr, 0);
   criteria.side = ServiceRollouts::Side::kBaseline;
@@ -340,7 +343,7 @@
                                            Listed("new", "dc1")};
   endpoints.back().version = "v2";
   site.pool.SetListed(endpoints, kStart);
-  site.rollouts.Ordered("service", "v2", std::chrono::seconds(20), kStart);
+  site.rollouts.RecordOrder("service", "v2", std::chrono::seconds(20), kStart);
   EndpointCriteria criteria = MakeCriteria(nullptr, 0);
   criteria.side = ServiceRollouts::Side::kBaseline;
   CHECK(site.selector.Select(criteria, kStart).empty());
@@ -409,7 +412,7 @@
                                            Listed("new", "dc1")};
   endpoints.back().version = "v2";
   site.pool.SetListed(endpoints, kStart);
-  site.rollouts.Ordered("service", "v2", std::chrono::seconds(20), kStart);
+  site.rollouts.RecordOrder("service", "v2", std::chrono::seconds(20), kStart);
   site.backoffs.RecordBackoff("a", milliseconds(3000), kStart);
   EndpointCriteria criteria = MakeCriteria(nullptr, 0);
   criteria.side = ServiceRollouts::Side::kBaseline;
