--- a/daemon/bill_keeper.cc
+++ b/daemon/bill_keeper.cc
@@ -10,7 +10,7 @@
 
 #include <algorithm>
 
-#include "leverwick/compact.h"
+#include "leverwick/bill_encoding.h"
 #include "net/json.h"
 #include "net/log.h"
 
--- a/daemon/copy_stream.h
+++ b/daemon/copy_stream.h
@@ -15,7 +15,7 @@
 #include <thread>
 
 #include "daemon/node.h"
-#include "leverwick/copies.h"
+#include "leverwick/replication_stream.h"
 
 namespace leverwick {
 
--- a/leverwick/compact.cc
+++ b/leverwick/bill_encoding.cc
@@ -1,7 +1,7 @@
 // Legs are parallel packed lists, which protobuf writes as bare numbers: a
 // line with one leg takes some 20 bytes.
 
-#include "leverwick/compact.h"
+#include "leverwick/bill_encoding.h"
 
 #include <cmath>
 
--- a/leverwick/compact.h
+++ b/leverwick/bill_encoding.h
@@ -8,8 +8,8 @@
 //   std::string text = EncodeRecord(record);   // for the log
 //   bool good = DecodeRecord(text, &record);
 
-#ifndef LEVERWICK_COMPACT_H_
-#define LEVERWICK_COMPACT_H_
+#ifndef LEVERWICK_BILL_ENCODING_H_
+#define LEVERWICK_BILL_ENCODING_H_
 
 #include <cstdint>
 #include <map>
@@ -54,4 +54,4 @@
 
 }  // namespace leverwick
 
-#endif  // LEVERWICK_COMPACT_H_
+#endif  // LEVERWICK_BILL_ENCODING_H_
--- a/leverwick/bills.h
+++ b/leverwick/bills.h
@@ -24,7 +24,7 @@
 #include <string>
 #include <vector>
 
-#include "leverwick/copies.h"
+#include "leverwick/replication_stream.h"
 #include "leverwick/time.h"
 #include "schema/bills.pb.h"
 #include "schema/peer.pb.h"
--- a/leverwick/copies.cc
+++ b/leverwick/replication_stream.cc
@@ -3,7 +3,7 @@
 // what it was told to forget. Numbers of targets hold for one generation.
 //
 
-#include "leverwick/copies.h"
+#include "leverwick/replication_stream.h"
 
 #include <algorithm>
 
--- a/leverwick/copies.h
+++ b/leverwick/replication_stream.h
@@ -18,15 +18,15 @@
 //   IntentBatch batch;
 //   bool accepted = receiver.Read(message, &batch);
 
-#ifndef LEVERWICK_COPIES_H_
-#define LEVERWICK_COPIES_H_
+#ifndef LEVERWICK_REPLICATION_STREAM_H_
+#define LEVERWICK_REPLICATION_STREAM_H_
 
 #include <cstddef>
 #include <cstdint>
 #include <string>
 #include <vector>
 
-#include "leverwick/compact.h"
+#include "leverwick/bill_encoding.h"
 #include "schema/peer.pb.h"
 
 namespace leverwick {
@@ -96,4 +96,4 @@
 
 }  // namespace leverwick
 
-#endif  // LEVERWICK_COPIES_H_
+#endif  // LEVERWICK_REPLICATION_STREAM_H_
--- a/leverwick/testing/bills_test.cc
+++ b/leverwick/testing/bills_test.cc
@@ -6,7 +6,7 @@
 #include <algorithm>
 #include <random>
 
-#include "leverwick/compact.h"
+#include "leverwick/bill_encoding.h"
 
 namespace leverwick {
 namespace {
--- a/leverwick/testing/copies_test.cc
+++ b/leverwick/testing/replication_stream_test.cc
@@ -1,4 +1,4 @@
-#include "leverwick/copies.h"
+#include "leverwick/replication_stream.h"
 
 #include <doctest/doctest.h>
 
--- a/net/operator_client.cc
+++ b/net/operator_client.cc
@@ -6,7 +6,7 @@
 
 #include <thread>
 
-#include "leverwick/compact.h"
+#include "leverwick/bill_encoding.h"
 #include "leverwick/digest.h"
 #include "net/json.h"
 
