--- a/app/leverwickctl.cc
+++ b/app/leverwickctl.cc
@@ -402,7 +402,7 @@
     }
     std::cout << "\n";
   }
-  std::cerr << "repeated lines dropped: " << ledger.repeated() << "\n";
+  std::cerr << "repeated lines dropped: " << ledger.duplicates() << "\n";
   return 0;
 }
 
--- a/daemon/bill_keeper.cc
+++ b/daemon/bill_keeper.cc
@@ -41,7 +41,7 @@
 }
 
 std::vector<std::shared_ptr<CopyStream>> BillKeeper::Streams() {
-  std::vector<Member> targets = node_->membership.Targets();
+  std::vector<Member> targets = node_->membership.HeartbeatTargets();
   auto copies = static_cast<size_t>(node_->settings.bills().copies());
   if (targets.size() > copies) targets.resize(copies);
   std::vector<std::shared_ptr<CopyStream>> streams;
@@ -73,10 +73,10 @@
   // Open requests first: one that is billed meanwhile is then in both, never
   // in neither.
   IntentBatch state;
-  for (const auto& entry : open_.HeldOf(node_->life).open) {
+  for (const auto& entry : open_.RecordsFor(node_->life).open) {
     for (const Intent& intent : entry.second) *state.add_opened() = intent;
   }
-  for (const BillLine& line : node_->bills.Batch(node_->bills.size())) {
+  for (const BillLine& line : node_->bills.PeekOldest(node_->bills.size())) {
     *state.add_billed() = line;
   }
   return state;
@@ -86,7 +86,7 @@
   IntentBatch batch;
   batch.set_life(node_->life);
   *batch.add_opened() = intent;
-  open_.Take(batch);
+  open_.Apply(batch);
   std::vector<std::shared_ptr<CopyStream>> streams = Streams();
   std::vector<uint64_t> numbers;
   for (const auto& stream : streams) numbers.push_back(stream->Add(batch));
@@ -100,7 +100,7 @@
 
 void BillKeeper::Close(const BillLine& line) {
   node_->bills.Add(line);
-  open_.Settled(node_->life, {line.sequence()});
+  open_.RemoveSettled(node_->life, {line.sequence()});
   IntentBatch batch;
   *batch.add_billed() = line;
   for (const auto& stream : Streams()) stream->Add(batch);
@@ -118,7 +118,7 @@
 
 void BillKeeper::AppendStep() {
   std::lock_guard<std::mutex> lock(append_mutex_);
-  std::vector<BillLine> lines = node_->bills.Batch(kLinesPerAppend);
+  std::vector<BillLine> lines = node_->bills.PeekOldest(kLinesPerAppend);
   node_->metrics.Set("leverwick_bills_queued", "",
                      static_cast<double>(node_->bills.size()));
   if (lines.empty()) return;
@@ -130,7 +130,7 @@
                   {"code", std::to_string(error.value())}});
     return;
   }
-  node_->bills.Appended(lines.size());
+  node_->bills.RemoveAppended(lines.size());
   IntentBatch batch;
   for (const BillLine& line : lines) batch.add_appended(line.sequence());
   for (const auto& stream : Streams()) stream->Add(batch);
@@ -140,7 +140,7 @@
   AppendStep();
   if (node_->bills.size() == 0) return true;
   IntentBatch batch;
-  for (const BillLine& line : node_->bills.Batch(node_->bills.size())) {
+  for (const BillLine& line : node_->bills.PeekOldest(node_->bills.size())) {
     *batch.add_billed() = line;
   }
   bool held = false;
@@ -166,7 +166,7 @@
 
 void BillKeeper::SettleStep() {
   Streams();  // a new target hears of what is open without waiting for news
-  for (const std::string& life : node_->intents.lives()) {
+  for (const std::string& life : node_->intents.incarnations()) {
     if (!IsOver(life)) continue;
     bool give_up = Clock::now() - over_since_[life] > kGiveUpAfter;
     if (Settle(life, give_up)) over_since_.erase(life);
@@ -174,7 +174,7 @@
 }
 
 bool BillKeeper::Settle(const std::string& life, bool give_up) {
-  IntentBook::Held held = node_->intents.HeldOf(life);
+  IntentStore::Records held = node_->intents.RecordsFor(life);
   std::vector<BillLine> lines = held.billed;
   bool all = true;
   for (const auto& entry : held.open) {
@@ -183,7 +183,8 @@
       states.push_back(Ask(life, intent));
     }
     BillLine line;
-    if (SettleLine(entry.first, entry.second, states, give_up, &line)) {
+    if (BuildSettlementLine(entry.first, entry.second, states, give_up,
+                            &line)) {
       line.set_why("settled by " + node_->life);
       lines.push_back(line);
     } else {
@@ -193,7 +194,7 @@
   if (!lines.empty() && Append(life, lines)) return false;
   std::vector<uint64_t> sequences;
   for (const BillLine& line : lines) sequences.push_back(line.sequence());
-  node_->intents.Settled(life, sequences);
+  node_->intents.RemoveSettled(life, sequences);
   if (lines.empty()) return all;
   log_.Info("Open requests settled.",
             {{"life", life}, {"lines", std::to_string(lines.size())}});
--- a/daemon/bill_keeper.h
+++ b/daemon/bill_keeper.h
@@ -49,7 +49,7 @@
                          const std::vector<BillLine>& lines);
 
   Node* const node_;
-  IntentBook open_;  // this box's own requests, until they are billed
+  IntentStore open_;  // this box's own requests, until they are billed
   Worker appender_;
   Worker settler_;
   std::mutex append_mutex_;   // one append at a time
--- a/daemon/claim_desk.cc
+++ b/daemon/claim_desk.cc
@@ -17,10 +17,10 @@
 
 ClaimOptions OptionsOf(const Node& node) {
   ClaimOptions options;
-  options.life = node.life;
+  options.incarnation = node.life;
   options.data_centre = node.settings.box().data_centre();
-  options.window = FromProto(node.settings.claims().window());
-  options.deadline = FromProto(node.settings.requests().deadline());
+  options.retention = FromProto(node.settings.claims().window());
+  options.max_request_duration = FromProto(node.settings.requests().deadline());
   return options;
 }
 
@@ -42,7 +42,7 @@
     cached_.clear();
     auto slots = static_cast<uint32_t>(node_->settings.claims().slots());
     for (uint32_t i = 0; i < slots; ++i) {
-      cached_.push_back(PlacementsOf(rosters, i));
+      cached_.push_back(ComputePlacements(rosters, i));
     }
     cached_epoch_ = rosters.back().epoch();
   }
@@ -61,7 +61,7 @@
                           bool finish) {
   ClaimRequest request;
   request.set_data_centre(organisation.home());
-  request.set_slot(SlotOf(
+  request.set_slot(SlotForKey(
       claim.key(), static_cast<uint32_t>(node_->settings.claims().slots())));
   *request.mutable_claim() = claim;
   request.set_finish(finish);
--- a/daemon/copy_stream.cc
+++ b/daemon/copy_stream.cc
@@ -36,7 +36,7 @@
 
 uint64_t CopyStream::Add(const IntentBatch& news) {
   std::lock_guard<std::mutex> lock(mutex_);
-  sender_.Add(news);
+  sender_.AddDelta(news);
   changed_.notify_all();
   if (failing_) return 0;
   awaited_ = next_number_;
@@ -53,31 +53,31 @@
 bool CopyStream::caught_up() const {
   std::lock_guard<std::mutex> lock(mutex_);
   bool under_way = answered_ + 1 < next_number_;
-  return !failing_ && !under_way && sender_.begun() && sender_.idle();
+  return !failing_ && !under_way && sender_.has_begun() && sender_.is_idle();
 }
 
 void CopyStream::Begin(std::unique_lock<std::mutex>* lock) {
-  sender_.Begin(++node_->copy_generation);
+  sender_.BeginGeneration(++node_->copy_generation);
   lock->unlock();
   IntentBatch state = state_();
   lock->lock();
-  sender_.AddState(state);
+  sender_.AddSnapshot(state);
 }
 
 bool CopyStream::SendOne(std::unique_lock<std::mutex>* lock) {
-  CopyBatch message = sender_.Next(kMostItems);
+  CopyBatch message = sender_.NextMessage(kMostItems);
   lock->unlock();
   Ack ack;
   std::error_code error =
       node_->peers.CallFrame(peer_, FRAME_COPIES, message, &ack);
   lock->lock();
   if (!error && ack.accepted()) return true;
-  sender_.Failed();
+  sender_.RecordFailure();
   return false;
 }
 
 bool CopyStream::SendGathered(std::unique_lock<std::mutex>* lock) {
-  if (!sender_.begun()) Begin(lock);
+  if (!sender_.has_begun()) Begin(lock);
   size_t left = sender_.queued();
   do {
     if (!SendOne(lock)) return false;
@@ -92,7 +92,7 @@
   std::unique_lock<std::mutex> lock(mutex_);
   for (;;) {
     changed_.wait(lock, [this] {
-      return stopped_ || !sender_.begun() || !sender_.idle() ||
+      return stopped_ || !sender_.has_begun() || !sender_.is_idle() ||
              awaited_ >= next_number_;
     });
     if (stopped_) return;
--- a/daemon/copy_stream.h
+++ b/daemon/copy_stream.h
@@ -48,7 +48,7 @@
   const std::function<IntentBatch()> state_;
   mutable std::mutex mutex_;
   std::condition_variable changed_;
-  CopySender sender_;
+  ReplicationSender sender_;
   uint64_t next_number_ = 1;  // of the message being gathered
   uint64_t awaited_ = 0;      // highest number that Add has returned
   uint64_t answered_ = 0;
--- a/daemon/node.cc
+++ b/daemon/node.cc
@@ -20,7 +20,7 @@
   MembershipOptions options;
   options.self = self;
   options.data_centre = settings.box().data_centre();
-  options.dead_after = FromProto(settings.peers().dead_after());
+  options.failure_timeout = FromProto(settings.peers().dead_after());
   options.fanout = static_cast<size_t>(settings.peers().fanout());
   return options;
 }
--- a/daemon/node.h
+++ b/daemon/node.h
@@ -54,8 +54,8 @@
   Planner planner;
   RetryBudget retries;
   BillQueue bills;
-  IntentBook intents;
-  ClaimCopies claim_copies;
+  IntentStore intents;
+  ClaimReplicas claim_copies;
   Metrics metrics;
   PlatformClient platform;
   EndpointClient endpoint_client;
--- a/daemon/peer_service.cc
+++ b/daemon/peer_service.cc
@@ -52,7 +52,7 @@
       });
   server->Add<CopyBatch, Ack>(
       FRAME_COPIES, [node](const CopyBatch& request, Ack* reply) {
-        reply->set_accepted(node->intents.TakeCopies(request));
+        reply->set_accepted(node->intents.ApplyMessage(request));
         return true;
       });
 }
--- a/daemon/platform_watcher.cc
+++ b/daemon/platform_watcher.cc
@@ -168,7 +168,7 @@
   }
   std::vector<std::string> lives;
   for (const ListedBox& box : list.boxes) lives.push_back(box.life);
-  node_->membership.Listed(lives, read);
+  node_->membership.RecordListedBoxes(lives, read);
   node_->endpoints.SetListed(here, Clock::now());
   node_->list_ready = true;
   ListReply whole;
--- a/daemon/roster_keeper.cc
+++ b/daemon/roster_keeper.cc
@@ -67,7 +67,7 @@
   heartbeat.set_next_offset(node_->tables.table()->next_offset());
   heartbeat.set_sequence(++beats_);
   heartbeat.set_leaving(node_->stopping);
-  for (const MemberSeen& seen : node_->membership.seen()) {
+  for (const MemberSeen& seen : node_->membership.applied_offsets()) {
     *heartbeat.add_seen() = seen;
   }
   for (const GuardSum& sum : node_->guard.own()) *heartbeat.add_guards() = sum;
@@ -90,7 +90,7 @@
   TimePoint now = Clock::now();
   bool with_sums = now >= next_sums_;
   Heartbeat heartbeat = MakeHeartbeat(with_sums);
-  std::vector<Member> targets = node_->membership.Targets();
+  std::vector<Member> targets = node_->membership.HeartbeatTargets();
   if (with_sums) {
     size_t bytes = heartbeat.ByteSizeLong();
     next_sums_ = now + FromSeconds(SumsInterval(bytes, targets.size()).count());
@@ -100,8 +100,8 @@
     bool answered =
         !node_->peers.CallFrame(member, FRAME_HEARTBEAT, heartbeat, &reply);
     if (!answered) continue;
-    node_->membership.Heard(reply.from(), reply.next_offset(), reply.leaving(),
-                            Clock::now());
+    node_->membership.RecordHeartbeat(reply.from(), reply.next_offset(),
+                                      reply.leaving(), Clock::now());
     TakeReply(reply);
   }
   if (node_->IsReader()) SendAcross(heartbeat);
@@ -140,10 +140,11 @@
   node_->freshness.Heard(heartbeat.next_offset(), now);
   bool same = heartbeat.data_centre() == node_->settings.box().data_centre();
   if (same) {
-    node_->membership.Heard(heartbeat.from(), heartbeat.next_offset(),
-                            heartbeat.leaving(), now);
+    node_->membership.RecordHeartbeat(heartbeat.from(), heartbeat.next_offset(),
+                                      heartbeat.leaving(), now);
     for (const MemberSeen& seen : heartbeat.seen()) {
-      node_->membership.HeardOf(seen.life_hash(), seen.next_offset());
+      node_->membership.RecordAppliedOffset(seen.life_hash(),
+                                            seen.next_offset());
     }
   }
   TakeNews(heartbeat);
@@ -192,7 +193,8 @@
 void RosterKeeper::ProposeRoster(bool leaving) {
   TimePoint now = Clock::now();
   if (now < next_proposal_ || node_->stopping != leaving) return;
-  std::optional<RosterChange> change = node_->membership.Propose(leaving, now);
+  std::optional<RosterChange> change =
+      node_->membership.ProposeChange(leaving, now);
   if (!change.has_value()) return;
   // Boxes that see the same need append at different times.
   nanoseconds beat = FromProto(node_->settings.peers().heartbeat());
@@ -227,12 +229,13 @@
   node_->limiter.SetRoster(roster.epoch(),
                            static_cast<size_t>(roster.members_size()),
                            mine / total, rosters.size() == 1);
-  if (node_->membership.Settled()) node_->limiter.SetSettled(roster.epoch());
+  if (node_->membership.HaveAllMembersApplied())
+    node_->limiter.SetSettled(roster.epoch());
 }
 
 void RosterKeeper::MoveShares() {
   std::shared_ptr<const Table> table = node_->tables.table();
-  std::vector<Member> peers = node_->membership.Targets();
+  std::vector<Member> peers = node_->membership.HeartbeatTargets();
   std::set<std::string> silent;  // not asked twice in one round
   for (const Organisation* organisation : table->organisations()) {
     for (const Member& peer : peers) {
--- a/leverwick/bill_encoding.cc
+++ b/leverwick/bill_encoding.cc
@@ -1,4 +1,4 @@
-// Legs are parallel packed lists, which protobuf writes as bare numbers: a
+// Legs are parallel packed lists, which protobuf writes as bare dictionary: a
 // line with one leg takes some 20 bytes.
 
 #include "leverwick/bill_encoding.h"
@@ -10,7 +10,7 @@
 namespace leverwick {
 namespace {
 
-constexpr double kNanos = 1e9;
+constexpr double kNanosPerUnit = 1e9;
 
 }  // namespace
 
@@ -25,47 +25,47 @@
   return target;
 }
 
-uint32_t TargetNumbers::NumberOf(const CompactTarget& target,
-                                 TargetList* named) {
-  auto next = static_cast<uint32_t>(numbers_.size());
-  auto inserted = numbers_.emplace(target.SerializeAsString(), next);
-  if (inserted.second) *named->Add() = target;
+uint32_t TargetDictionary::IndexFor(const CompactTarget& target,
+                                    TargetList* new_targets) {
+  auto next = static_cast<uint32_t>(indexes_.size());
+  auto inserted = indexes_.emplace(target.SerializeAsString(), next);
+  if (inserted.second) *new_targets->Add() = target;
   return inserted.first->second;
 }
 
-int64_t Relative(uint64_t sequence, uint64_t base) {
+int64_t ToRelativeSequence(uint64_t sequence, uint64_t base) {
   return static_cast<int64_t>(sequence - base);
 }
 
-uint64_t Absolute(int64_t relative, uint64_t base) {
+uint64_t ToAbsoluteSequence(int64_t relative, uint64_t base) {
   return base + static_cast<uint64_t>(relative);
 }
 
-void PackLine(const BillLine& line, uint64_t base, TargetNumbers* numbers,
-              TargetList* named, CompactLine* packed) {
-  packed->set_sequence(Relative(line.sequence(), base));
+void PackLine(const BillLine& line, uint64_t base, TargetDictionary* dictionary,
+              TargetList* new_targets, CompactLine* packed) {
+  packed->set_sequence(ToRelativeSequence(line.sequence(), base));
   packed->set_outcome(line.outcome());
   for (const BillLeg& leg : line.legs()) {
     CompactTarget target = MakeTarget(line.organisation(), leg.endpoint(),
                                       leg.model(), leg.version());
-    packed->add_targets(numbers->NumberOf(target, named));
+    packed->add_targets(dictionary->IndexFor(target, new_targets));
     packed->add_prompt_tokens(leg.prompt_tokens());
     packed->add_completion_tokens(leg.completion_tokens());
-    packed->add_cost_nanos(std::llround(leg.cost() * kNanos));
+    packed->add_cost_nanos(std::llround(leg.cost() * kNanosPerUnit));
   }
   if (line.legs_size() > 0) return;
   CompactTarget target = MakeTarget(line.organisation(), "", "", "");
-  packed->set_organisation(numbers->NumberOf(target, named));
+  packed->set_organisation(dictionary->IndexFor(target, new_targets));
 }
 
 bool UnpackLine(const CompactLine& packed, uint64_t base,
                 const std::vector<CompactTarget>& targets, BillLine* line) {
   int legs = packed.targets_size();
-  bool whole = packed.prompt_tokens_size() == legs &&
-               packed.completion_tokens_size() == legs &&
-               packed.cost_nanos_size() == legs;
-  if (!whole) return false;
-  line->set_sequence(Absolute(packed.sequence(), base));
+  bool is_complete = packed.prompt_tokens_size() == legs &&
+                     packed.completion_tokens_size() == legs &&
+                     packed.cost_nanos_size() == legs;
+  if (!is_complete) return false;
+  line->set_sequence(ToAbsoluteSequence(packed.sequence(), base));
   line->set_outcome(packed.outcome());
   for (int i = 0; i < legs; ++i) {
     if (packed.targets(i) >= targets.size()) return false;
@@ -77,7 +77,7 @@
     leg->set_version(target.version());
     leg->set_prompt_tokens(packed.prompt_tokens(i));
     leg->set_completion_tokens(packed.completion_tokens(i));
-    leg->set_cost(static_cast<double>(packed.cost_nanos(i)) / kNanos);
+    leg->set_cost(static_cast<double>(packed.cost_nanos(i)) / kNanosPerUnit);
   }
   if (legs > 0) return true;
   if (packed.organisation() >= targets.size()) return false;
@@ -90,9 +90,9 @@
   compact.set_life(record.life());
   compact.set_author_life(record.author_life());
   if (record.lines_size() > 0) compact.set_base(record.lines(0).sequence());
-  TargetNumbers numbers;
+  TargetDictionary dictionary;
   for (const BillLine& line : record.lines()) {
-    PackLine(line, compact.base(), &numbers, compact.mutable_targets(),
+    PackLine(line, compact.base(), &dictionary, compact.mutable_targets(),
              compact.add_lines());
   }
   return Base64Encode(compact.SerializeAsString());
--- a/leverwick/bills.cc
+++ b/leverwick/bills.cc
@@ -1,7 +1,7 @@
 // A copy stream keeps order, and begins anew after a loss. Between the new
-// beginning and its end the book holds what it held before as well, so that a
-// box that dies then loses nothing; what the log has meanwhile is settled into
-// a second line with the same id, and the ledger drops it.
+// beginning and its end the book holds what it records before as well, so that
+// a box that dies then loses nothing; what the log has meanwhile is settled
+// into a second line with the same id, and the ledger drops it.
 
 #include "leverwick/bills.h"
 
@@ -10,11 +10,11 @@
 
 namespace leverwick {
 
-std::string RequestId(const std::string& life, uint64_t sequence) {
-  return life + "." + std::to_string(sequence);
+std::string RequestId(const std::string& incarnation, uint64_t sequence) {
+  return incarnation + "." + std::to_string(sequence);
 }
 
-bool ParseRequestId(const std::string& id, std::string* life,
+bool ParseRequestId(const std::string& id, std::string* incarnation,
                     uint64_t* sequence) {
   size_t dot = id.rfind('.');
   if (dot == std::string::npos || dot == 0 || dot + 1 == id.size())
@@ -22,7 +22,7 @@
   char* end = nullptr;
   *sequence = std::strtoull(id.c_str() + dot + 1, &end, 10);
   if (*end != '\0') return false;
-  *life = id.substr(0, dot);
+  *incarnation = id.substr(0, dot);
   return true;
 }
 
@@ -36,13 +36,13 @@
   lines_.push_back(std::move(line));
 }
 
-std::vector<BillLine> BillQueue::Batch(size_t max_lines) const {
+std::vector<BillLine> BillQueue::PeekOldest(size_t max_lines) const {
   std::lock_guard<std::mutex> lock(mutex_);
   auto count = static_cast<std::ptrdiff_t>(std::min(max_lines, lines_.size()));
   return std::vector<BillLine>(lines_.begin(), lines_.begin() + count);
 }
 
-void BillQueue::Appended(size_t count) {
+void BillQueue::RemoveAppended(size_t count) {
   std::lock_guard<std::mutex> lock(mutex_);
   auto end = static_cast<std::ptrdiff_t>(std::min(count, lines_.size()));
   lines_.erase(lines_.begin(), lines_.begin() + end);
@@ -53,15 +53,15 @@
   return lines_.size();
 }
 
-void IntentBook::Add(const IntentBatch& batch, Entries* entries) {
+void IntentStore::AddBatch(const IntentBatch& batch, Entries* entries) {
   for (const Intent& intent : batch.opened()) {
     if (entries->billed.count(intent.sequence()) > 0) continue;
     std::vector<Intent>& dispatches = entries->open[intent.sequence()];
-    bool known = std::any_of(dispatches.begin(), dispatches.end(),
-                             [&intent](const Intent& other) {
-                               return other.attempt() == intent.attempt();
-                             });
-    if (!known) dispatches.push_back(intent);
+    bool is_duplicate = std::any_of(
+        dispatches.begin(), dispatches.end(), [&intent](const Intent& other) {
+          return other.attempt() == intent.attempt();
+        });
+    if (!is_duplicate) dispatches.push_back(intent);
   }
   for (const BillLine& line : batch.billed()) {
     entries->open.erase(line.sequence());
@@ -69,91 +69,96 @@
   }
 }
 
-void IntentBook::Forget(uint64_t sequence, Life* life) {
-  for (Entries* entries : {&life->current, &life->earlier}) {
+void IntentStore::Erase(uint64_t sequence, Incarnation* incarnation) {
+  for (Entries* entries : {&incarnation->current, &incarnation->previous}) {
     entries->open.erase(sequence);
     entries->billed.erase(sequence);
   }
 }
 
-void IntentBook::TakeLocked(const IntentBatch& batch, Life* life) {
+void IntentStore::ApplyLocked(const IntentBatch& batch,
+                              Incarnation* incarnation) {
   if (batch.begins()) {
     // What is not stated again was appended, but only the whole state tells.
-    for (auto& entry : life->current.open) life->earlier.open.insert(entry);
-    for (auto& entry : life->current.billed) life->earlier.billed.insert(entry);
-    life->current = Entries();
+    for (auto& entry : incarnation->current.open)
+      incarnation->previous.open.insert(entry);
+    for (auto& entry : incarnation->current.billed)
+      incarnation->previous.billed.insert(entry);
+    incarnation->current = Entries();
   }
-  Add(batch, &life->current);
-  for (uint64_t sequence : batch.appended()) Forget(sequence, life);
-  if (batch.complete()) life->earlier = Entries();
+  AddBatch(batch, &incarnation->current);
+  for (uint64_t sequence : batch.appended()) Erase(sequence, incarnation);
+  if (batch.complete()) incarnation->previous = Entries();
 }
 
-void IntentBook::Take(const IntentBatch& batch) {
+void IntentStore::Apply(const IntentBatch& batch) {
   std::lock_guard<std::mutex> lock(mutex_);
-  TakeLocked(batch, &lives_[batch.life()]);
+  ApplyLocked(batch, &incarnations_[batch.life()]);
 }
 
-bool IntentBook::TakeCopies(const CopyBatch& message) {
+bool IntentStore::ApplyMessage(const CopyBatch& message) {
   std::lock_guard<std::mutex> lock(mutex_);
-  Life& life = lives_[message.life()];
+  Incarnation& incarnation = incarnations_[message.life()];
   IntentBatch batch;
-  if (!life.receiver.Read(message, &batch)) return false;
-  TakeLocked(batch, &life);
+  if (!incarnation.receiver.Decode(message, &batch)) return false;
+  ApplyLocked(batch, &incarnation);
   return true;
 }
 
-IntentBook::Held IntentBook::HeldOf(const std::string& life) const {
+IntentStore::Records IntentStore::RecordsFor(
+    const std::string& incarnation) const {
   std::lock_guard<std::mutex> lock(mutex_);
-  Held held;
-  auto found = lives_.find(life);
-  if (found == lives_.end()) return held;
+  Records records;
+  auto found = incarnations_.find(incarnation);
+  if (found == incarnations_.end()) return records;
   const Entries& current = found->second.current;
-  const Entries& earlier = found->second.earlier;
+  const Entries& previous = found->second.previous;
   std::map<uint64_t, BillLine> billed = current.billed;
-  billed.insert(earlier.billed.begin(), earlier.billed.end());
-  held.open = current.open;
-  held.open.insert(earlier.open.begin(), earlier.open.end());
+  billed.insert(previous.billed.begin(), previous.billed.end());
+  records.open = current.open;
+  records.open.insert(previous.open.begin(), previous.open.end());
   for (const auto& entry : billed) {
-    held.open.erase(entry.first);
-    held.billed.push_back(entry.second);
+    records.open.erase(entry.first);
+    records.billed.push_back(entry.second);
   }
-  return held;
+  return records;
 }
 
-void IntentBook::Settled(const std::string& life,
-                         const std::vector<uint64_t>& sequences) {
+void IntentStore::RemoveSettled(const std::string& incarnation,
+                                const std::vector<uint64_t>& sequences) {
   std::lock_guard<std::mutex> lock(mutex_);
-  auto found = lives_.find(life);
-  if (found == lives_.end()) return;
-  for (uint64_t sequence : sequences) Forget(sequence, &found->second);
-  const Life& held = found->second;
-  bool empty = held.current.open.empty() && held.current.billed.empty() &&
-               held.earlier.open.empty() && held.earlier.billed.empty();
-  if (empty) lives_.erase(found);
+  auto found = incarnations_.find(incarnation);
+  if (found == incarnations_.end()) return;
+  for (uint64_t sequence : sequences) Erase(sequence, &found->second);
+  const Incarnation& records = found->second;
+  bool empty = records.current.open.empty() && records.current.billed.empty() &&
+               records.previous.open.empty() && records.previous.billed.empty();
+  if (empty) incarnations_.erase(found);
 }
 
-std::vector<std::string> IntentBook::lives() const {
+std::vector<std::string> IntentStore::incarnations() const {
   std::lock_guard<std::mutex> lock(mutex_);
-  std::vector<std::string> lives;
-  for (const auto& entry : lives_) lives.push_back(entry.first);
-  return lives;
+  std::vector<std::string> incarnations;
+  for (const auto& entry : incarnations_) incarnations.push_back(entry.first);
+  return incarnations;
 }
 
-size_t IntentBook::size() const {
+size_t IntentStore::size() const {
   std::lock_guard<std::mutex> lock(mutex_);
   size_t size = 0;
-  for (const auto& entry : lives_) {
+  for (const auto& entry : incarnations_) {
     for (const Entries* entries :
-         {&entry.second.current, &entry.second.earlier}) {
+         {&entry.second.current, &entry.second.previous}) {
       size += entries->open.size() + entries->billed.size();
     }
   }
   return size;
 }
 
-bool SettleLine(uint64_t sequence, const std::vector<Intent>& dispatches,
-                const std::vector<DispatchState>& states, bool give_up,
-                BillLine* line) {
+bool BuildSettlementLine(uint64_t sequence,
+                         const std::vector<Intent>& dispatches,
+                         const std::vector<DispatchState>& states, bool give_up,
+                         BillLine* line) {
   line->Clear();
   line->set_sequence(sequence);
   line->set_outcome(BillLine::VOID);
@@ -175,14 +180,14 @@
   return true;
 }
 
-void Ledger::Read(const BillRecord& record) {
+void Ledger::Apply(const BillRecord& record) {
   for (const BillLine& line : record.lines()) {
     auto inserted =
         lines_.emplace(RequestId(record.life(), line.sequence()), line);
     if (inserted.second) continue;
     BillLine& standing = inserted.first->second;
     if (standing.outcome() != BillLine::VOID) {
-      ++repeated_;
+      ++duplicates_;
     } else {
       standing = line;
     }
--- a/leverwick/claims.h
+++ b/leverwick/claims.h
@@ -2,14 +2,15 @@
 // caller retries the key through another box or data centre.
 //
 // Each key has one owner (slots.h). The owner grants a claim only after every
-// copy of the slot has stored it: write all. A new owner, once the roster that
-// names it is in the log, seals: it reads the claims from one copy of the
-// epoch before, and that copy refuses the old epoch from then on: read one.
-// Write-all meets read-one, so an old owner that was frozen and wakes can
-// grant nothing the new one doesn't know of. No clock decides ownership.
+// replica of the slot has stored it: write all. A new owner, once the roster
+// that names it is in the log, seals: it reads the claims from one replica of
+// the epoch before, and that replica refuses the previous epoch from then on:
+// read one. Write-all meets read-one, so an previous owner that was frozen and
+// wakes can grant nothing the new one doesn't know of. No clock decides
+// ownership.
 //
-// ClaimCopies is the part of every box that stores copies. ClaimOwner is the
-// part that grants, for the slots the box owns.
+// ClaimReplicas is the part of every box that stores replicas. ClaimOwner is
+// the part that grants, for the slots the box owns.
 //
 //   ClaimReply reply = owner.Handle(request, now);
 //   if (reply.code() == 0) ...  // granted: dispatch, then finish it
@@ -34,8 +35,8 @@
 
 namespace leverwick {
 
-// Stores copies of slots' claims. Thread-safe; one lock a slot.
-class ClaimCopies {
+// Stores replicas of slots' claims. Thread-safe; one lock a slot.
+class ClaimReplicas {
  public:
   // Reads the claims of `for_epoch` and refuses that epoch from now on.
   SealReply Seal(const SealRequest& request);
@@ -54,11 +55,11 @@
   // Forgets claims made before `oldest`. Returns how many.
   size_t Expire(WallTime oldest);
 
-  // Claims held now.
+  // Claims sealed now.
   size_t size() const;
 
  private:
-  struct Copy {
+  struct Replica {
     mutable std::mutex mutex;
     uint64_t installed_epoch = 0;
     uint64_t sealed_epoch = 0;  // epochs below this are refused
@@ -66,15 +67,15 @@
     std::map<std::string, Claim> claims;
   };
 
-  Copy& CopyOf(const SlotRef& slot) const;
+  Replica& ReplicaFor(const SlotRef& slot) const;
 
-  mutable std::mutex mutex_;  // guards the map, not the copies
-  mutable std::map<std::pair<std::string, uint32_t>, std::unique_ptr<Copy>>
-      copies_;
+  mutable std::mutex mutex_;  // guards the map, not the replicas
+  mutable std::map<std::pair<std::string, uint32_t>, std::unique_ptr<Replica>>
+      replicas_;
 };
 
-// How the owner reaches the copies on other boxes; each call returns an error
-// when the box could not be reached or is another life.
+// How the owner reaches the replicas on other boxes; each call returns an error
+// when the box could not be reached or is another incarnation.
 class ClaimPeers {
  public:
   virtual ~ClaimPeers() = default;
@@ -85,25 +86,25 @@
                                   Ack* reply) = 0;
   virtual std::error_code Put(const Member& member, const PutRequest& request,
                               Ack* reply) = 0;
-  // Whether the platform's list says that the life is over for good.
+  // Whether the platform's list says that the incarnation is over for good.
   virtual bool IsGone(const Member& member) = 0;
 };
 
 struct ClaimOptions {
-  std::string life;  // of this box
+  std::string incarnation;  // of this box
   std::string data_centre;
-  nanoseconds window{0};    // how long a key is remembered
-  nanoseconds deadline{0};  // longest life of a request
+  nanoseconds retention{0};             // how long a key is remembered
+  nanoseconds max_request_duration{0};  // longest incarnation of a request
 };
 
 // Grants claims for the slots this box owns. Thread-safe; one lock a slot,
-// held over the calls to the copies.
+// sealed over the calls to the replicas.
 class ClaimOwner {
  public:
   // `placements` gives a slot's placements, newest first, from the table in
   // force. The pointers must outlive the owner.
   using PlacementSource = std::function<std::vector<Placement>(uint32_t slot)>;
-  ClaimOwner(ClaimOptions options, ClaimCopies* copies, ClaimPeers* peers,
+  ClaimOwner(ClaimOptions options, ClaimReplicas* replicas, ClaimPeers* peers,
              PlacementSource placements);
 
   // Grants, finishes or releases a claim.
@@ -118,35 +119,36 @@
     std::mutex mutex;
     uint64_t active_epoch = 0;
     uint64_t last_change = 0;  // of the puts of this epoch
-    // Until then keys may have been claimed on copies that were all lost. The
-    // copies carry it on, for the next owner must know it too.
+    // Until then keys may have been claimed on replicas that were all lost. The
+    // replicas carry it on, for the next owner must know it too.
     WallTime doubtful_until{};
   };
 
-  Slot& SlotAt(uint32_t slot);
+  Slot& SlotFor(uint32_t slot);
   bool Owns(const Placement& placement) const;
-  SlotRef RefOf(uint32_t slot, uint64_t epoch) const;
+  SlotRef MakeSlotRef(uint32_t slot, uint64_t epoch) const;
   bool Activate(uint32_t slot, const std::vector<Placement>& placements,
                 Slot* state, WallTime now);
-  enum class Read { kComplete, kNeverActive, kUnreachable, kLost };
-  Read ReadOld(const SlotRef& slot, const Placement& old, SealReply* held);
+  enum class SealOutcome { kComplete, kNeverActive, kUnreachable, kAllLost };
+  SealOutcome SealPrevious(const SlotRef& slot, const Placement& previous,
+                           SealReply* sealed);
   bool InstallAll(const SlotRef& slot, const Placement& placement,
-                  const SealReply& held);
+                  const SealReply& sealed);
   bool PutAll(const SlotRef& slot, const Placement& placement,
               const Claim& claim, Slot* state);
   ClaimReply Grant(const SlotRef& slot, const Placement& placement,
-                   const Claim& wanted, Slot* state, WallTime now);
+                   const Claim& requested, Slot* state, WallTime now);
   ClaimReply Finish(const SlotRef& slot, const Placement& placement,
                     const Claim& outcome, Slot* state);
-  ClaimReply Answer(const Claim& found, const Claim& wanted,
-                    WallTime now) const;
+  ClaimReply ReplyForExisting(const Claim& found, const Claim& requested,
+                              WallTime now) const;
   bool InstallAt(const Member& member, const InstallRequest& request);
   bool PutAt(const Member& member, const PutRequest& request);
   bool SealAt(const Member& member, const SealRequest& request,
               SealReply* reply);
 
   const ClaimOptions options_;
-  ClaimCopies* const copies_;
+  ClaimReplicas* const replicas_;
   ClaimPeers* const peers_;
   const PlacementSource placements_;
   std::mutex mutex_;  // guards the map, not the slots
--- a/leverwick/membership.cc
+++ b/leverwick/membership.cc
@@ -1,7 +1,7 @@
-// The ring is the roster sorted by the hash of the lives; a member's targets
-// are its next `fanout` successors. Only the targets of a member judge it, for
-// only they should hear from it. A box that is not yet in the roster, or no
-// longer, has the targets that it would have as a member.
+// The ring is the roster sorted by the hash of the incarnations; a member's
+// targets are its next `fanout` successors. Only the targets of a member judge
+// it, for only they should hear from it. A box that is not yet in the roster,
+// or no longer, has the targets that it would have as a member.
 
 #include "leverwick/membership.h"
 
@@ -13,14 +13,14 @@
 namespace leverwick {
 namespace {
 
-bool Holds(const Roster& roster, const std::string& life) {
+bool Contains(const Roster& roster, const std::string& incarnation) {
   for (const Member& member : roster.members()) {
-    if (member.life() == life) return true;
+    if (member.life() == incarnation) return true;
   }
   return false;
 }
 
-bool HoldsAddress(const RosterChange& change, const std::string& address) {
+bool ContainsAddress(const RosterChange& change, const std::string& address) {
   for (const Member& member : change.members()) {
     if (member.address() == address) return true;
   }
@@ -29,91 +29,99 @@
 
 }  // namespace
 
-uint32_t LifeHash(const std::string& life) {
-  return static_cast<uint32_t>(StableHash(life));
+uint32_t IncarnationHash(const std::string& incarnation) {
+  return static_cast<uint32_t>(StableHash(incarnation));
 }
 
 void Membership::Tick(const Roster& roster, TimePoint now) {
   std::lock_guard<std::mutex> lock(mutex_);
-  bool paused = now - last_tick_ > options_.dead_after / 2;
+  bool paused = now - last_tick_ > options_.failure_timeout / 2;
   last_tick_ = now;
   if (paused) {
-    // Members may have been heard of meanwhile; who else is there is not known.
+    // Members may have been last_heartbeat of meanwhile; who else is there is
+    // not known.
     for (auto entry = peers_.begin(); entry != peers_.end();) {
-      bool member = Holds(roster_, entry->first);
-      if (member) entry->second.heard = now;
+      bool member = Contains(roster_, entry->first);
+      if (member) entry->second.last_heartbeat = now;
       entry = member ? std::next(entry) : peers_.erase(entry);
     }
   }
   if (roster.epoch() == roster_.epoch()) return;
-  NoteRemoved(roster, now);
+  RecordRemovals(roster, now);
   roster_ = roster;
-  // One that is seen for the first time, or sends to this box since this
-  // roster, has the full time to be heard.
-  std::set<std::string> judged_before;
-  judged_before.swap(judged_);
+  // One that is applied_offsets for the first time, or sends to this box since
+  // this roster, has the full time to be last_heartbeat.
+  std::set<std::string> previously_monitored;
+  previously_monitored.swap(monitored_);
   for (const Member& member : roster_.members()) {
     Peer& peer =
         peers_.emplace(member.life(), Peer{member, now, false}).first->second;
-    if (!SendsToUs(member)) continue;
-    judged_.insert(member.life());
-    if (judged_before.count(member.life()) == 0) peer.heard = now;
+    if (!SendsHeartbeatsToSelf(member)) continue;
+    monitored_.insert(member.life());
+    if (previously_monitored.count(member.life()) == 0)
+      peer.last_heartbeat = now;
   }
 }
 
-void Membership::NoteRemoved(const Roster& next, TimePoint now) {
-  for (auto entry = removed_.begin(); entry != removed_.end();) {
-    bool over = now - entry->second >= options_.dead_after;
-    entry = over ? removed_.erase(entry) : std::next(entry);
+void Membership::RecordRemovals(const Roster& next, TimePoint now) {
+  for (auto entry = removed_at_.begin(); entry != removed_at_.end();) {
+    bool over = now - entry->second >= options_.failure_timeout;
+    entry = over ? removed_at_.erase(entry) : std::next(entry);
   }
   for (const Member& member : roster_.members()) {
-    if (!Holds(next, member.life())) removed_[member.life()] = now;
+    if (!Contains(next, member.life())) removed_at_[member.life()] = now;
   }
 }
 
 // A box that was removed waits, lest the roster change back and forth.
-bool Membership::IsDamped(const std::string& life, TimePoint now) const {
-  auto found = removed_.find(life);
-  return found != removed_.end() && now - found->second < options_.dead_after;
+bool Membership::IsReadmissionDelayed(const std::string& incarnation,
+                                      TimePoint now) const {
+  auto found = removed_at_.find(incarnation);
+  return found != removed_at_.end() &&
+         now - found->second < options_.failure_timeout;
 }
 
-void Membership::Heard(const Member& from, uint64_t next_offset, bool leaving,
-                       TimePoint now) {
+void Membership::RecordHeartbeat(const Member& from, uint64_t next_offset,
+                                 bool leaving, TimePoint now) {
   std::lock_guard<std::mutex> lock(mutex_);
   Peer& peer = peers_[from.life()];
   peer.member = from;
-  peer.heard = now;
+  peer.last_heartbeat = now;
   peer.leaving = leaving;
-  uint64_t& offset = offsets_[LifeHash(from.life())];
+  uint64_t& offset = applied_offsets_[IncarnationHash(from.life())];
   offset = std::max(offset, next_offset);
 }
 
-void Membership::HeardOf(uint32_t life_hash, uint64_t next_offset) {
+void Membership::RecordAppliedOffset(uint32_t incarnation_hash,
+                                     uint64_t next_offset) {
   std::lock_guard<std::mutex> lock(mutex_);
-  uint64_t& offset = offsets_[life_hash];
+  uint64_t& offset = applied_offsets_[incarnation_hash];
   offset = std::max(offset, next_offset);
 }
 
-void Membership::Listed(const std::vector<std::string>& lives, TimePoint now) {
+void Membership::RecordListedBoxes(const std::vector<std::string>& incarnations,
+                                   TimePoint now) {
   std::lock_guard<std::mutex> lock(mutex_);
-  list_read_ = now;
-  for (const std::string& life : lives) listed_[life] = now;
+  last_list_read_ = now;
+  for (const std::string& incarnation : incarnations)
+    last_listed_[incarnation] = now;
 }
 
-bool Membership::IsGone(const std::string& life, TimePoint now) const {
+bool Membership::IsGone(const std::string& incarnation, TimePoint now) const {
   std::lock_guard<std::mutex> lock(mutex_);
-  if (now - list_read_ > options_.dead_after) return false;
-  auto found = listed_.find(life);
-  // A life this box never saw listed is gone if it is not heard of either.
-  TimePoint last = found == listed_.end() ? TimePoint{} : found->second;
-  auto peer = peers_.find(life);
-  if (peer != peers_.end()) last = std::max(last, peer->second.heard);
-  return now - last > options_.dead_after;
+  if (now - last_list_read_ > options_.failure_timeout) return false;
+  auto found = last_listed_.find(incarnation);
+  // A incarnation this box never saw listed is gone if it is not last_heartbeat
+  // of either.
+  TimePoint last = found == last_listed_.end() ? TimePoint{} : found->second;
+  auto peer = peers_.find(incarnation);
+  if (peer != peers_.end()) last = std::max(last, peer->second.last_heartbeat);
+  return now - last > options_.failure_timeout;
 }
 
-std::vector<Member> Membership::SuccessorsOf(const Member& member) const {
+std::vector<Member> Membership::Successors(const Member& member) const {
   std::vector<Member> ring(roster_.members().begin(), roster_.members().end());
-  if (!Holds(roster_, member.life())) ring.push_back(member);
+  if (!Contains(roster_, member.life())) ring.push_back(member);
   std::sort(ring.begin(), ring.end(), [](const Member& a, const Member& b) {
     return StableHash(a.life()) < StableHash(b.life());
   });
@@ -126,13 +134,13 @@
   return ring;
 }
 
-std::vector<Member> Membership::Targets() const {
+std::vector<Member> Membership::HeartbeatTargets() const {
   std::lock_guard<std::mutex> lock(mutex_);
-  return SuccessorsOf(options_.self);
+  return Successors(options_.self);
 }
 
-bool Membership::SendsToUs(const Member& member) const {
-  for (const Member& target : SuccessorsOf(member)) {
+bool Membership::SendsHeartbeatsToSelf(const Member& member) const {
+  for (const Member& target : Successors(member)) {
     if (target.life() == options_.self.life()) return true;
   }
   return false;
@@ -141,74 +149,79 @@
 bool Membership::IsSilent(const Member& member, TimePoint now) const {
   auto found = peers_.find(member.life());
   if (found == peers_.end()) return false;
-  return now - found->second.heard > options_.dead_after;
+  return now - found->second.last_heartbeat > options_.failure_timeout;
 }
 
-// So many boxes that start at once need one record, not one each. A life at an
-// address that is taken is left to itself: it may be the older of the two.
-bool Membership::AddNewcomers(RosterChange* change, TimePoint now) const {
+// So many boxes that start at once need one record, not one each. A incarnation
+// at an address that is taken is left to itself: it may be the older of the
+// two.
+bool Membership::AddNewMembers(RosterChange* change, TimePoint now) const {
   bool added = false;
   for (const auto& entry : peers_) {
     const Peer& peer = entry.second;
-    bool known = Holds(roster_, entry.first) ||
+    bool known = Contains(roster_, entry.first) ||
                  entry.first == options_.self.life() ||
-                 HoldsAddress(*change, peer.member.address());
-    bool fit = !peer.leaving && now - peer.heard <= options_.dead_after / 2 &&
-               !IsDamped(entry.first, now);
-    if (known || !fit || peer.member.address().empty()) continue;
+                 ContainsAddress(*change, peer.member.address());
+    bool is_eligible =
+        !peer.leaving &&
+        now - peer.last_heartbeat <= options_.failure_timeout / 2 &&
+        !IsReadmissionDelayed(entry.first, now);
+    if (known || !is_eligible || peer.member.address().empty()) continue;
     *change->add_members() = peer.member;
     added = true;
   }
   return added;
 }
 
-std::optional<RosterChange> Membership::Propose(bool stopping, TimePoint now) {
+std::optional<RosterChange> Membership::ProposeChange(bool stopping,
+                                                      TimePoint now) {
   std::lock_guard<std::mutex> lock(mutex_);
   const std::string& self = options_.self.life();
-  bool is_member = Holds(roster_, self);
+  bool is_member = Contains(roster_, self);
   RosterChange change;
   change.set_data_centre(options_.data_centre);
   change.set_base_epoch(roster_.epoch());
   bool changed = false;
   for (const Member& member : roster_.members()) {
     bool is_self = member.life() == self;
-    // A new life at our address proves that the old one is over.
-    bool replaced = !is_self && member.address() == options_.self.address();
-    bool judged = is_member ? SendsToUs(member) : roster_.members_size() == 1;
-    bool silent = !is_self && judged && IsSilent(member, now);
-    if (replaced || silent || (is_self && stopping)) {
+    // A new incarnation at our address proves that the old one is over.
+    bool is_replaced = !is_self && member.address() == options_.self.address();
+    bool is_monitored =
+        is_member ? SendsHeartbeatsToSelf(member) : roster_.members_size() == 1;
+    bool is_silent = !is_self && is_monitored && IsSilent(member, now);
+    if (is_replaced || is_silent || (is_self && stopping)) {
       changed = true;
       continue;
     }
     *change.add_members() = member;
   }
-  if (!is_member && !stopping && !IsDamped(self, now)) {
+  if (!is_member && !stopping && !IsReadmissionDelayed(self, now)) {
     *change.add_members() = options_.self;
     changed = true;
   }
-  if (!stopping && AddNewcomers(&change, now)) changed = true;
+  if (!stopping && AddNewMembers(&change, now)) changed = true;
   if (!changed) return std::nullopt;
   return change;
 }
 
-bool Membership::Settled() const {
+bool Membership::HaveAllMembersApplied() const {
   std::lock_guard<std::mutex> lock(mutex_);
   for (const Member& member : roster_.members()) {
     if (member.life() == options_.self.life()) continue;
-    auto found = offsets_.find(LifeHash(member.life()));
-    if (found == offsets_.end() || found->second < roster_.epoch()) {
+    auto found = applied_offsets_.find(IncarnationHash(member.life()));
+    if (found == applied_offsets_.end() || found->second < roster_.epoch()) {
       return false;
     }
   }
   return true;
 }
 
-std::vector<MemberSeen> Membership::seen() const {
+std::vector<MemberSeen> Membership::applied_offsets() const {
   std::lock_guard<std::mutex> lock(mutex_);
   std::vector<MemberSeen> all;
   for (const Member& member : roster_.members()) {
-    auto found = offsets_.find(LifeHash(member.life()));
-    if (found == offsets_.end()) continue;
+    auto found = applied_offsets_.find(IncarnationHash(member.life()));
+    if (found == applied_offsets_.end()) continue;
     all.emplace_back();
     all.back().set_life_hash(found->first);
     all.back().set_next_offset(found->second);
--- a/leverwick/membership.h
+++ b/leverwick/membership.h
@@ -4,7 +4,7 @@
 // box doesn't grow with the data centre. The roster itself changes only by a
 // record in the platform's log: Membership merely says what this box would
 // append. A joining box proposes itself, a stopping one proposes to go, and a
-// silent one is proposed for removal by those it should send heartbeats to.
+// is_silent one is proposed for removal by those it should send heartbeats to.
 //
 // A box that was paused itself must not take its own silence for that of the
 // others: Tick starts all timers anew when it is late.
@@ -29,7 +29,7 @@
 struct MembershipOptions {
   Member self;
   std::string data_centre;
-  nanoseconds dead_after{0};
+  nanoseconds failure_timeout{0};
   size_t fanout = 4;
 };
 
@@ -43,60 +43,64 @@
   void Tick(const Roster& roster, TimePoint now);
 
   // A heartbeat, or an answer to one, came from a peer.
-  void Heard(const Member& from, uint64_t next_offset, bool leaving,
-             TimePoint now);
+  void RecordHeartbeat(const Member& from, uint64_t next_offset, bool leaving,
+                       TimePoint now);
 
   // A heartbeat passed on what a member has applied.
-  void HeardOf(uint32_t life_hash, uint64_t next_offset);
+  void RecordAppliedOffset(uint32_t incarnation_hash, uint64_t next_offset);
 
   // The addresses of live boxes of this data centre in the platform's list.
-  // Kept to tell a box that is gone from one that is silent.
-  void Listed(const std::vector<std::string>& lives, TimePoint now);
+  // Kept to tell a box that is gone from one that is is_silent.
+  void RecordListedBoxes(const std::vector<std::string>& incarnations,
+                         TimePoint now);
 
-  // Whether the list, read since, has not held the life for dead_after.
-  bool IsGone(const std::string& life, TimePoint now) const;
+  // Whether the list, read since, has not held the incarnation for
+  // failure_timeout.
+  bool IsGone(const std::string& incarnation, TimePoint now) const;
 
   // The members that get this box's heartbeats and copies, also while it is
   // not a member itself.
-  std::vector<Member> Targets() const;
+  std::vector<Member> HeartbeatTargets() const;
 
   // The change this box would append now; none when the roster is right.
-  std::optional<RosterChange> Propose(bool stopping, TimePoint now);
+  std::optional<RosterChange> ProposeChange(bool stopping, TimePoint now);
 
   // Whether every member is known to have applied the roster's record.
-  bool Settled() const;
+  bool HaveAllMembersApplied() const;
 
   // What to pass on of the members' offsets.
-  std::vector<MemberSeen> seen() const;
+  std::vector<MemberSeen> applied_offsets() const;
 
  private:
   struct Peer {
     Member member;
-    TimePoint heard{};
+    TimePoint last_heartbeat{};
     bool leaving = false;
   };
 
   bool IsSilent(const Member& member, TimePoint now) const;
-  bool IsDamped(const std::string& life, TimePoint now) const;
-  void NoteRemoved(const Roster& next, TimePoint now);
-  bool AddNewcomers(RosterChange* change, TimePoint now) const;
-  bool SendsToUs(const Member& member) const;
-  std::vector<Member> SuccessorsOf(const Member& member) const;
+  bool IsReadmissionDelayed(const std::string& incarnation,
+                            TimePoint now) const;
+  void RecordRemovals(const Roster& next, TimePoint now);
+  bool AddNewMembers(RosterChange* change, TimePoint now) const;
+  bool SendsHeartbeatsToSelf(const Member& member) const;
+  std::vector<Member> Successors(const Member& member) const;
 
   const MembershipOptions options_;
   mutable std::mutex mutex_;
   Roster roster_;
-  std::map<std::string, Peer> peers_;        // by life
-  std::set<std::string> judged_;             // members that send to this box
-  std::map<uint32_t, uint64_t> offsets_;     // by hash of life
-  std::map<std::string, TimePoint> listed_;  // last time in the list
-  TimePoint list_read_{};
+  std::map<std::string, Peer> peers_;  // by incarnation
+  std::set<std::string> monitored_;    // members that send to this box
+  std::map<uint32_t, uint64_t> applied_offsets_;  // by hash of incarnation
+  std::map<std::string, TimePoint> last_listed_;  // last time in the list
+  TimePoint last_list_read_{};
   TimePoint last_tick_{};
-  std::map<std::string, TimePoint> removed_;  // lives that left the roster
+  std::map<std::string, TimePoint>
+      removed_at_;  // incarnations that left the roster
 };
 
-// The hash under which MemberSeen names a life.
-uint32_t LifeHash(const std::string& life);
+// The hash under which MemberSeen names a incarnation.
+uint32_t IncarnationHash(const std::string& incarnation);
 
 }  // namespace leverwick
 
--- a/leverwick/slots.cc
+++ b/leverwick/slots.cc
@@ -1,5 +1,5 @@
-// Rendezvous hashing: each (slot, life) pair has a hash and the highest win.
-// A box that comes or goes moves only the slots it wins or held.
+// Rendezvous hashing: each (slot, incarnation) pair has a hash and the highest
+// win. A box that comes or goes moves only the slots it wins or held.
 
 #include "leverwick/slots.h"
 
@@ -10,13 +10,14 @@
 namespace leverwick {
 namespace {
 
-std::vector<Member> CopiesOf(const Roster& roster, uint32_t slot) {
+std::vector<Member> ComputeReplicas(const Roster& roster, uint32_t slot) {
   std::vector<Member> ranked = RankMembers(roster, slot);
-  if (ranked.size() > kSlotCopies) ranked.resize(kSlotCopies);
+  if (ranked.size() > kSlotReplicas) ranked.resize(kSlotReplicas);
   return ranked;
 }
 
-bool SameLives(const std::vector<Member>& a, const std::vector<Member>& b) {
+bool HasSameIncarnations(const std::vector<Member>& a,
+                         const std::vector<Member>& b) {
   return std::equal(a.begin(), a.end(), b.begin(), b.end(),
                     [](const Member& left, const Member& right) {
                       return left.life() == right.life();
@@ -25,7 +26,7 @@
 
 }  // namespace
 
-uint32_t SlotOf(const std::string& key, uint32_t slots) {
+uint32_t SlotForKey(const std::string& key, uint32_t slots) {
   return static_cast<uint32_t>(StableHash(key) % slots);
 }
 
@@ -41,15 +42,16 @@
   return members;
 }
 
-std::vector<Placement> PlacementsOf(const std::vector<Roster>& rosters,
-                                    uint32_t slot) {
+std::vector<Placement> ComputePlacements(const std::vector<Roster>& rosters,
+                                         uint32_t slot) {
   std::vector<Placement> placements;
   for (const Roster& roster : rosters) {
-    std::vector<Member> copies = CopiesOf(roster, slot);
-    if (!placements.empty() && SameLives(placements.back().copies, copies)) {
+    std::vector<Member> replicas = ComputeReplicas(roster, slot);
+    if (!placements.empty() &&
+        HasSameIncarnations(placements.back().replicas, replicas)) {
       continue;
     }
-    placements.push_back(Placement{roster.epoch(), std::move(copies)});
+    placements.push_back(Placement{roster.epoch(), std::move(replicas)});
   }
   std::reverse(placements.begin(), placements.end());
   return placements;
--- a/leverwick/testing/bills_test.cc
+++ b/leverwick/testing/bills_test.cc
@@ -11,7 +11,7 @@
 namespace leverwick {
 namespace {
 
-BillLine Line(uint64_t sequence, BillLine::Outcome outcome) {
+BillLine MakeLine(uint64_t sequence, BillLine::Outcome outcome) {
   BillLine line;
   line.set_sequence(sequence);
   line.set_outcome(outcome);
@@ -19,28 +19,28 @@
   return line;
 }
 
-TEST_CASE("request ids are read back") {
-  std::string life;
+TEST_CASE("request ids are read decoded") {
+  std::string incarnation;
   uint64_t sequence = 0;
-  CHECK(ParseRequestId(RequestId("box-1.a", 17), &life, &sequence));
-  CHECK(life == "box-1.a");
+  CHECK(ParseRequestId(RequestId("box-1.a", 17), &incarnation, &sequence));
+  CHECK(incarnation == "box-1.a");
   CHECK(sequence == 17);
-  CHECK(!ParseRequestId("nodot", &life, &sequence));
-  CHECK(!ParseRequestId("a.b", &life, &sequence));
-  CHECK(!ParseRequestId(".1", &life, &sequence));
+  CHECK(!ParseRequestId("nodot", &incarnation, &sequence));
+  CHECK(!ParseRequestId("a.b", &incarnation, &sequence));
+  CHECK(!ParseRequestId(".1", &incarnation, &sequence));
 }
 
 TEST_CASE("the ledger keeps one line an id, and a void settles nothing") {
   Ledger ledger;
   BillRecord record;
   record.set_life("a");
-  *record.add_lines() = Line(1, BillLine::VOID);
-  *record.add_lines() = Line(1, BillLine::ANSWERED);
-  *record.add_lines() = Line(1, BillLine::UNKNOWN);
-  ledger.Read(record);
+  *record.add_lines() = MakeLine(1, BillLine::VOID);
+  *record.add_lines() = MakeLine(1, BillLine::ANSWERED);
+  *record.add_lines() = MakeLine(1, BillLine::UNKNOWN);
+  ledger.Apply(record);
   CHECK(ledger.lines().at("a.1").outcome() == BillLine::ANSWERED);
-  CHECK(ledger.repeated() == 1);
-  ledger.Read(record);
+  CHECK(ledger.duplicates() == 1);
+  ledger.Apply(record);
   CHECK(ledger.lines().size() == 1);
   CHECK(ledger.lines().at("a.1").outcome() == BillLine::ANSWERED);
 }
@@ -53,8 +53,8 @@
       BillRecord record;
       record.set_life("life" + std::to_string(number % 3));
       auto outcome = number % 5 == 0 ? BillLine::VOID : BillLine::ANSWERED;
-      *record.add_lines() = Line(number / 8, outcome);
-      ledger.Read(record);
+      *record.add_lines() = MakeLine(number / 8, outcome);
+      ledger.Apply(record);
       if (outcome != BillLine::VOID) {
         billed.insert(RequestId(record.life(), number / 8));
       }
@@ -69,13 +69,13 @@
 
 TEST_CASE("the queue keeps lines until the log has them") {
   BillQueue queue(3);
-  for (uint64_t i = 1; i <= 3; ++i) queue.Add(Line(i, BillLine::ANSWERED));
+  for (uint64_t i = 1; i <= 3; ++i) queue.Add(MakeLine(i, BillLine::ANSWERED));
   CHECK(queue.full());
-  CHECK(queue.Batch(2).size() == 2);
+  CHECK(queue.PeekOldest(2).size() == 2);
   CHECK(queue.size() == 3);
-  queue.Appended(2);
+  queue.RemoveAppended(2);
   CHECK(!queue.full());
-  CHECK(queue.Batch(10).front().sequence() == 3);
+  CHECK(queue.PeekOldest(10).front().sequence() == 3);
 }
 
 Intent MakeIntent(uint64_t sequence) {
@@ -86,31 +86,31 @@
   return intent;
 }
 
-TEST_CASE("the intent book takes messages in any order") {
-  IntentBook book;
+TEST_CASE("the intent store takes messages in any order") {
+  IntentStore store;
   IntentBatch open;
   open.set_life("a");
   *open.add_opened() = MakeIntent(1);
   *open.add_opened() = MakeIntent(2);
   IntentBatch billed;
   billed.set_life("a");
-  *billed.add_billed() = Line(1, BillLine::ANSWERED);
-  book.Take(billed);
-  book.Take(open);
-  IntentBook::Held held = book.HeldOf("a");
-  CHECK(held.open.size() == 1);
-  CHECK(held.open.count(2) == 1);
-  CHECK(held.billed.size() == 1);
-  book.Settled("a", {1, 2});
-  CHECK(book.size() == 0);
-  CHECK(book.lives().empty());
+  *billed.add_billed() = MakeLine(1, BillLine::ANSWERED);
+  store.Apply(billed);
+  store.Apply(open);
+  IntentStore::Records records = store.RecordsFor("a");
+  CHECK(records.open.size() == 1);
+  CHECK(records.open.count(2) == 1);
+  CHECK(records.billed.size() == 1);
+  store.RemoveSettled("a", {1, 2});
+  CHECK(store.size() == 0);
+  CHECK(store.incarnations().empty());
 }
 
-DispatchState StateOf(DispatchState::State state) {
-  DispatchState out;
-  out.state = state;
-  out.completion_tokens = 5;
-  return out;
+DispatchState MakeState(DispatchState::State state) {
+  DispatchState result;
+  result.state = state;
+  result.completion_tokens = 5;
+  return result;
 }
 
 TEST_CASE("a lost request is settled by what its endpoints say") {
@@ -118,7 +118,8 @@
   using S = DispatchState;
   BillLine line;
   auto settle = [&](S::State a, S::State b, bool give_up) {
-    return SettleLine(1, two, {StateOf(a), StateOf(b)}, give_up, &line);
+    return BuildSettlementLine(1, two, {MakeState(a), MakeState(b)}, give_up,
+                               &line);
   };
   CHECK(settle(S::kNeverSeen, S::kNeverSeen, false));
   CHECK(line.outcome() == BillLine::VOID);
@@ -132,27 +133,27 @@
   CHECK(line.legs_size() == 2);
 }
 
-TEST_CASE("a record is read back from the log's text, but for the reason") {
+TEST_CASE("a record is read decoded from the log's text, but for the reason") {
   CHECK(rc::check("compact", [](const std::vector<uint32_t>& numbers) {
     BillRecord record;
     record.set_life("a1-0123");
     record.set_author_life("a2-4567");
     for (uint32_t number : numbers) {
       BillLine* line = record.add_lines();
-      *line = Line(number, static_cast<BillLine::Outcome>(number % 4));
+      *line = MakeLine(number, static_cast<BillLine::Outcome>(number % 4));
       for (uint32_t leg = 0; leg < number % 3; ++leg) {
-        BillLeg* out = line->add_legs();
-        out->set_endpoint("127.0.0.1:" + std::to_string(number % 7));
-        out->set_model("swift");
-        out->set_version(std::to_string(number % 2));
-        out->set_prompt_tokens(number);
-        out->set_completion_tokens(number / 2);
-        out->set_cost(static_cast<double>(number) / 1e9);
+        BillLeg* result = line->add_legs();
+        result->set_endpoint("127.0.0.1:" + std::to_string(number % 7));
+        result->set_model("swift");
+        result->set_version(std::to_string(number % 2));
+        result->set_prompt_tokens(number);
+        result->set_completion_tokens(number / 2);
+        result->set_cost(static_cast<double>(number) / 1e9);
       }
     }
-    BillRecord back;
-    RC_ASSERT(DecodeRecord(EncodeRecord(record), &back));
-    RC_ASSERT(back.SerializeAsString() == record.SerializeAsString());
+    BillRecord decoded;
+    RC_ASSERT(DecodeRecord(EncodeRecord(record), &decoded));
+    RC_ASSERT(decoded.SerializeAsString() == record.SerializeAsString());
   }));
   BillRecord record;
   CHECK(!DecodeRecord("{\"life\":\"a\"}", &record));
--- a/leverwick/testing/claims_test.cc
+++ b/leverwick/testing/claims_test.cc
@@ -33,11 +33,11 @@
   bool IsGone(const Member& member) override;
 
   Cluster* cluster;
-  std::string life;
+  std::string incarnation;
   bool dead = false;
-  bool busy = false;  // in the middle of a call of its own
-  size_t view = 0;    // rosters this box knows of
-  ClaimCopies copies;
+  bool busy = false;        // in the middle of a call of its own
+  size_t roster_count = 0;  // rosters this box knows of
+  ClaimReplicas replicas;
   std::unique_ptr<ClaimOwner> owner;
 };
 
@@ -55,20 +55,20 @@
   }
 
   int grants() const { return grants_; }
-  int again() const { return granted_again_; }
+  int duplicate_grants() const { return duplicate_grants_; }
 
   int Pick(int n) {
     return static_cast<int>(random_() % static_cast<unsigned>(n));
   }
 
-  std::vector<Roster> View(size_t count) const {
+  std::vector<Roster> Rosters(size_t count) const {
     return std::vector<Roster>(rosters_.begin(),
                                rosters_.begin() + static_cast<long>(count));
   }
 
-  Box* Find(const std::string& life) {
+  Box* Find(const std::string& incarnation) {
     for (auto& box : boxes_) {
-      if (box->life == life) return box.get();
+      if (box->incarnation == incarnation) return box.get();
     }
     return nullptr;
   }
@@ -81,7 +81,7 @@
     int fate = Pick(20);
     if (fate == 0) return Result::kUnreachable;
     if (fate == 1) {
-      late_.push_back([box, action] {
+      delayed_.push_back([box, action] {
         if (!box->dead) action(box);
       });
       return Result::kUnreachable;
@@ -101,45 +101,45 @@
     roster.set_epoch(rosters_.empty() ? 1 : rosters_.back().epoch() + 1);
     for (auto& box : boxes_) {
       if (box->dead || Pick(3) == 0) continue;
-      roster.add_members()->set_life(box->life);
+      roster.add_members()->set_life(box->incarnation);
     }
     if (roster.members_size() > 0) rosters_.push_back(roster);
   }
 
-  void Step(bool may_nest) {
+  void Step(bool may_kill) {
     if (depth_ > 2) return;
     ++depth_;
-    int what = Pick(20);
-    if (what == 0) {
+    int event = Pick(20);
+    if (event == 0) {
       AddRoster();
-    } else if (what == 1 && !late_.empty()) {
-      auto action =
-          late_[static_cast<size_t>(Pick(static_cast<int>(late_.size())))];
+    } else if (event == 1 && !delayed_.empty()) {
+      auto action = delayed_[static_cast<size_t>(
+          Pick(static_cast<int>(delayed_.size())))];
       action();  // it may arrive twice
-    } else if (what == 2 && may_nest && Pick(10) == 0) {
+    } else if (event == 2 && may_kill && Pick(10) == 0) {
       boxes_[static_cast<size_t>(Pick(kBoxes))]->dead = true;
-    } else if (what < 8) {
+    } else if (event < 8) {
       Box& box = *boxes_[static_cast<size_t>(Pick(kBoxes))];
-      if (!box.busy) box.view = box.view + Pick(2) + 1;
-      box.view = std::min(box.view, rosters_.size());
+      if (!box.busy) box.roster_count = box.roster_count + Pick(2) + 1;
+      box.roster_count = std::min(box.roster_count, rosters_.size());
     } else {
-      Ask();
+      SendClaimRequest();
     }
     --depth_;
   }
 
-  void Ask() {
+  void SendClaimRequest() {
     Box& box = *boxes_[static_cast<size_t>(Pick(kBoxes))];
-    if (box.dead || box.busy || box.view == 0) return;
+    if (box.dead || box.busy || box.roster_count == 0) return;
     box.busy = true;
     std::string key = "key" + std::to_string(Pick(3));
     ClaimRequest request;
     request.set_slot(kSlot);
     request.mutable_claim()->set_key(key);
     request.mutable_claim()->set_request("same body");
-    bool finish = Pick(3) == 0 && !live_[key].empty();
-    std::string id =
-        finish ? *live_[key].begin() : "request" + std::to_string(++requests_);
+    bool finish = Pick(3) == 0 && !granted_[key].empty();
+    std::string id = finish ? *granted_[key].begin()
+                            : "request" + std::to_string(++requests_);
     request.mutable_claim()->set_request_id(id);
     if (finish) {
       request.set_finish(true);
@@ -147,37 +147,37 @@
       request.mutable_claim()->set_state(release ? Claim::RELEASED
                                                  : Claim::DONE);
       // Whoever releases will not dispatch, whether or not it is stored.
-      if (release) live_[key].erase(id);
+      if (release) granted_[key].erase(id);
     }
     ClaimReply reply = box.owner->Handle(request, kNow);
     box.busy = false;
     if (finish || reply.code() != 0) return;
     ++grants_;
-    live_[key].insert(id);
-    if (live_[key].size() > 1) ++granted_again_;
+    granted_[key].insert(id);
+    if (granted_[key].size() > 1) ++duplicate_grants_;
   }
 
   std::mt19937 random_;
   std::vector<std::unique_ptr<Box>> boxes_;
   std::vector<Roster> rosters_;
-  std::vector<std::function<void()>> late_;
-  std::map<std::string, std::set<std::string>> live_;
+  std::vector<std::function<void()>> delayed_;
+  std::map<std::string, std::set<std::string>> granted_;
   int requests_ = 0;
   int grants_ = 0;
-  int granted_again_ = 0;
+  int duplicate_grants_ = 0;
   int depth_ = 0;
 };
 
 Box::Box(Cluster* cluster_in, int number)
-    : cluster(cluster_in), life("box" + std::to_string(number)) {
+    : cluster(cluster_in), incarnation("box" + std::to_string(number)) {
   ClaimOptions options;
-  options.life = life;
+  options.incarnation = incarnation;
   options.data_centre = "dc1";
-  options.window = std::chrono::hours(1);
-  options.deadline = std::chrono::minutes(1);
+  options.retention = std::chrono::hours(1);
+  options.max_request_duration = std::chrono::minutes(1);
   owner = std::make_unique<ClaimOwner>(
-      options, &copies, this, [this](uint32_t slot) {
-        return PlacementsOf(cluster->View(view), slot);
+      options, &replicas, this, [this](uint32_t slot) {
+        return ComputePlacements(cluster->Rosters(roster_count), slot);
       });
 }
 
@@ -186,7 +186,7 @@
   // The reply is filled only if the call comes back.
   auto sealed = std::make_shared<SealReply>();
   std::error_code error = cluster->Call(member, [request, sealed](Box* box) {
-    *sealed = box->copies.Seal(request);
+    *sealed = box->replicas.Seal(request);
   });
   *reply = *sealed;
   return error;
@@ -196,7 +196,7 @@
                              const InstallRequest& request, Ack* reply) {
   auto accepted = std::make_shared<bool>(false);
   std::error_code error = cluster->Call(member, [request, accepted](Box* box) {
-    *accepted = box->copies.Install(request);
+    *accepted = box->replicas.Install(request);
   });
   reply->set_accepted(*accepted);
   return error;
@@ -206,7 +206,7 @@
                          Ack* reply) {
   auto accepted = std::make_shared<bool>(false);
   std::error_code error = cluster->Call(member, [request, accepted](Box* box) {
-    *accepted = box->copies.Put(request);
+    *accepted = box->replicas.Put(request);
   });
   reply->set_accepted(*accepted);
   return error;
@@ -223,13 +223,13 @@
     cluster.Run(400);
     grants += cluster.grants();
     INFO("seed " << seed);
-    REQUIRE(cluster.again() == 0);
+    REQUIRE(cluster.duplicate_grants() == 0);
   }
   // The test means nothing if hardly anything was granted.
   CHECK(grants > 2000);
 }
 
-ClaimRequest RequestOf(const std::string& id) {
+ClaimRequest MakeRequest(const std::string& id) {
   ClaimRequest request;
   request.mutable_claim()->set_key("key");
   request.mutable_claim()->set_request("body");
@@ -237,7 +237,7 @@
   return request;
 }
 
-struct Alone : ClaimPeers {
+struct UnreachablePeers : ClaimPeers {
   std::error_code Seal(const Member&, const SealRequest&, SealReply*) override {
     return Result::kUnreachable;
   }
@@ -251,41 +251,41 @@
   bool gone = false;
 };
 
-ClaimOptions AloneOptions() {
+ClaimOptions SingleBoxOptions() {
   ClaimOptions options;
-  options.life = "a";
+  options.incarnation = "a";
   options.data_centre = "dc1";
-  options.window = std::chrono::minutes(10);
-  options.deadline = std::chrono::minutes(1);
+  options.retention = std::chrono::minutes(10);
+  options.max_request_duration = std::chrono::minutes(1);
   return options;
 }
 
-TEST_CASE("a claim found is answered with what stands") {
+TEST_CASE("a claim found is answered with event stands") {
   TableBuilder site;
   site.AddRoster("dc1", {"a"});
-  Alone peers;
-  ClaimCopies copies;
-  ClaimOwner owner(AloneOptions(), &copies, &peers, [&](uint32_t slot) {
-    return PlacementsOf(site.table().RostersOf("dc1"), slot);
+  UnreachablePeers peers;
+  ClaimReplicas replicas;
+  ClaimOwner owner(SingleBoxOptions(), &replicas, &peers, [&](uint32_t slot) {
+    return ComputePlacements(site.table().RostersOf("dc1"), slot);
   });
   auto code = [&](const std::string& id, WallTime now) {
-    return static_cast<Result>(owner.Handle(RequestOf(id), now).code());
+    return static_cast<Result>(owner.Handle(MakeRequest(id), now).code());
   };
   CHECK(code("r1", kNow) == Result::kOk);
   CHECK(code("r1", kNow) == Result::kOk);  // its answer was lost
   CHECK(code("r2", kNow) == Result::kInProgress);
   CHECK(code("r2", kNow + std::chrono::minutes(2)) ==
         Result::kKeyOutcomeUnknown);
-  ClaimRequest other = RequestOf("r3");
+  ClaimRequest other = MakeRequest("r3");
   other.mutable_claim()->set_request("another body");
   CHECK(owner.Handle(other, kNow).code() ==
         static_cast<int>(Result::kKeyReused));
-  ClaimRequest done = RequestOf("r1");
+  ClaimRequest done = MakeRequest("r1");
   done.set_finish(true);
   done.mutable_claim()->set_state(Claim::DONE);
   done.mutable_claim()->set_body("answer");
   CHECK(owner.Handle(done, kNow).code() == 0);
-  ClaimReply reply = owner.Handle(RequestOf("r4"), kNow);
+  ClaimReply reply = owner.Handle(MakeRequest("r4"), kNow);
   CHECK(reply.code() == static_cast<int>(Result::kAnswerNotKept));
   CHECK(reply.found().body() == "answer");
   CHECK(code("r5", kNow + std::chrono::minutes(11)) == Result::kOk);
@@ -293,10 +293,10 @@
 
 // The model seldom brings these two orders to a bad end; here they are alone.
 TEST_CASE("a late install or an older put undoes nothing") {
-  ClaimCopies copies;
+  ClaimReplicas replicas;
   InstallRequest install;
   install.mutable_slot()->set_epoch(5);
-  REQUIRE(copies.Install(install));
+  REQUIRE(replicas.Install(install));
   PutRequest first;
   *first.mutable_slot() = install.slot();
   first.mutable_claim()->set_key("key");
@@ -307,27 +307,27 @@
   second.mutable_claim()->set_request_id("r2");
   second.mutable_claim()->set_state(Claim::RUNNING);
   second.mutable_claim()->set_change(2);
-  REQUIRE(copies.Put(first));
-  REQUIRE(copies.Put(second));
+  REQUIRE(replicas.Put(first));
+  REQUIRE(replicas.Put(second));
   Claim found;
-  CHECK(copies.Install(install));
-  REQUIRE(copies.Find(install.slot(), "key", &found));
+  CHECK(replicas.Install(install));
+  REQUIRE(replicas.Find(install.slot(), "key", &found));
   CHECK(found.request_id() == "r2");
-  CHECK(!copies.Put(first));
-  REQUIRE(copies.Find(install.slot(), "key", &found));
+  CHECK(!replicas.Put(first));
+  REQUIRE(replicas.Find(install.slot(), "key", &found));
   CHECK(found.request_id() == "r2");
 }
 
 TEST_CASE("a slot whose every copy was lost holds its keys in doubt") {
   TableBuilder site;
   site.AddRoster("dc1", {"x", "y"}).AddRoster("dc1", {"a"});
-  Alone peers;
-  ClaimCopies copies;
-  ClaimOwner owner(AloneOptions(), &copies, &peers, [&](uint32_t slot) {
-    return PlacementsOf(site.table().RostersOf("dc1"), slot);
+  UnreachablePeers peers;
+  ClaimReplicas replicas;
+  ClaimOwner owner(SingleBoxOptions(), &replicas, &peers, [&](uint32_t slot) {
+    return ComputePlacements(site.table().RostersOf("dc1"), slot);
   });
   auto code = [&](const std::string& id, WallTime now) {
-    return static_cast<Result>(owner.Handle(RequestOf(id), now).code());
+    return static_cast<Result>(owner.Handle(MakeRequest(id), now).code());
   };
   CHECK(code("r1", kNow) == Result::kClaimsUnavailable);
   peers.gone = true;
--- a/leverwick/testing/membership_test.cc
+++ b/leverwick/testing/membership_test.cc
@@ -18,110 +18,115 @@
   return TimePoint() + FromSeconds(1e6 + seconds);
 }
 
-Roster MakeRoster(uint64_t epoch, const std::vector<std::string>& lives) {
+Roster MakeRoster(uint64_t epoch,
+                  const std::vector<std::string>& incarnations) {
   Roster roster;
   roster.set_data_centre("dc1");
   roster.set_epoch(epoch);
-  for (const std::string& life : lives) {
+  for (const std::string& incarnation : incarnations) {
     Member* member = roster.add_members();
-    member->set_life(life);
-    member->set_address(life + ":1");
+    member->set_life(incarnation);
+    member->set_address(incarnation + ":1");
   }
   return roster;
 }
 
-MembershipOptions OptionsOf(const std::string& life) {
+MembershipOptions MakeOptions(const std::string& incarnation) {
   MembershipOptions options;
-  options.self.set_life(life);
-  options.self.set_address(life + ":1");
+  options.self.set_life(incarnation);
+  options.self.set_address(incarnation + ":1");
   options.data_centre = "dc1";
-  options.dead_after = std::chrono::seconds(3);
+  options.failure_timeout = std::chrono::seconds(3);
   return options;
 }
 
-std::vector<std::string> LivesOf(const std::optional<RosterChange>& change) {
-  std::vector<std::string> lives;
-  if (!change.has_value()) return lives;
+std::vector<std::string> IncarnationsOf(
+    const std::optional<RosterChange>& change) {
+  std::vector<std::string> incarnations;
+  if (!change.has_value()) return incarnations;
   for (const Member& member : change->members()) {
-    lives.push_back(member.life());
+    incarnations.push_back(member.life());
   }
-  return lives;
+  return incarnations;
 }
 
-TEST_CASE("a box proposes itself, and takes a silent one out") {
-  Membership membership(OptionsOf("a"));
+TEST_CASE("a box proposes itself, and takes a is_silent one out") {
+  Membership membership(MakeOptions("a"));
   membership.Tick(Roster(), At(0));
-  CHECK(LivesOf(membership.Propose(false, At(0))) ==
+  CHECK(IncarnationsOf(membership.ProposeChange(false, At(0))) ==
         std::vector<std::string>{"a"});
   membership.Tick(MakeRoster(1, {"a", "b"}), At(0.1));
-  CHECK(!membership.Propose(false, At(0.1)).has_value());
+  CHECK(!membership.ProposeChange(false, At(0.1)).has_value());
   Member b = MakeRoster(1, {"b"}).members(0);
   for (int i = 1; i < 40; ++i) {
     membership.Tick(MakeRoster(1, {"a", "b"}), At(0.1 + i * 0.1));
-    if (i < 10) membership.Heard(b, 1, false, At(0.1 + i * 0.1));
+    if (i < 10) membership.RecordHeartbeat(b, 1, false, At(0.1 + i * 0.1));
   }
-  CHECK(!membership.Propose(false, At(4.0)).has_value());
-  CHECK(LivesOf(membership.Propose(false, At(4.1))) ==
+  CHECK(!membership.ProposeChange(false, At(4.0)).has_value());
+  CHECK(IncarnationsOf(membership.ProposeChange(false, At(4.1))) ==
         std::vector<std::string>{"a"});
 }
 
 TEST_CASE("a box that was paused does not take the others for dead") {
-  Membership membership(OptionsOf("a"));
+  Membership membership(MakeOptions("a"));
   membership.Tick(MakeRoster(1, {"a", "b"}), At(0));
   membership.Tick(MakeRoster(1, {"a", "b"}), At(60));
-  CHECK(!membership.Propose(false, At(60)).has_value());
+  CHECK(!membership.ProposeChange(false, At(60)).has_value());
 }
 
 TEST_CASE("a stopping box proposes to go") {
-  Membership membership(OptionsOf("a"));
+  Membership membership(MakeOptions("a"));
   membership.Tick(MakeRoster(1, {"a", "b"}), At(0));
-  CHECK(LivesOf(membership.Propose(true, At(0))) ==
+  CHECK(IncarnationsOf(membership.ProposeChange(true, At(0))) ==
         std::vector<std::string>{"b"});
 }
 
 TEST_CASE("a box that was taken out waits before it comes back") {
-  Membership membership(OptionsOf("a"));
+  Membership membership(MakeOptions("a"));
   membership.Tick(MakeRoster(1, {"a", "b"}), At(0));
   membership.Tick(MakeRoster(2, {"b"}), At(0.1));
-  CHECK(!membership.Propose(false, At(0.2)).has_value());
+  CHECK(!membership.ProposeChange(false, At(0.2)).has_value());
   membership.Tick(MakeRoster(2, {"b"}), At(1.5));
-  membership.Heard(MakeRoster(2, {"b"}).members(0), 2, false, At(3.0));
-  CHECK(LivesOf(membership.Propose(false, At(3.2))).size() == 2);
+  membership.RecordHeartbeat(MakeRoster(2, {"b"}).members(0), 2, false,
+                             At(3.0));
+  CHECK(IncarnationsOf(membership.ProposeChange(false, At(3.2))).size() == 2);
 }
 
-TEST_CASE("a life is gone only when the list, read since, lacks it") {
-  Membership membership(OptionsOf("a"));
-  membership.Listed({"a", "b"}, At(0));
+TEST_CASE("a incarnation is gone only when the list, read since, lacks it") {
+  Membership membership(MakeOptions("a"));
+  membership.RecordListedBoxes({"a", "b"}, At(0));
   CHECK(!membership.IsGone("b", At(1)));
   CHECK(!membership.IsGone("b", At(10)));  // the list is not read any more
-  membership.Listed({"a"}, At(10));
+  membership.RecordListedBoxes({"a"}, At(10));
   CHECK(membership.IsGone("b", At(10)));
   CHECK(!membership.IsGone("a", At(10)));
 }
 
 TEST_CASE("the roster is settled once every member has applied it") {
-  Membership membership(OptionsOf("a"));
+  Membership membership(MakeOptions("a"));
   membership.Tick(MakeRoster(7, {"a", "b", "c"}), At(0));
-  membership.Heard(MakeRoster(7, {"b"}).members(0), 9, false, At(0));
-  CHECK(!membership.Settled());
-  membership.HeardOf(LifeHash("c"), 6);
-  CHECK(!membership.Settled());
-  membership.HeardOf(LifeHash("c"), 7);
-  CHECK(membership.Settled());
+  membership.RecordHeartbeat(MakeRoster(7, {"b"}).members(0), 9, false, At(0));
+  CHECK(!membership.HaveAllMembersApplied());
+  membership.RecordAppliedOffset(IncarnationHash("c"), 6);
+  CHECK(!membership.HaveAllMembersApplied());
+  membership.RecordAppliedOffset(IncarnationHash("c"), 7);
+  CHECK(membership.HaveAllMembersApplied());
 }
 
 TEST_CASE("heartbeats go to a few members, and everyone is watched") {
-  std::vector<std::string> lives;
-  for (int i = 0; i < 26; ++i) lives.push_back("box" + std::to_string(i));
+  std::vector<std::string> incarnations;
+  for (int i = 0; i < 26; ++i)
+    incarnations.push_back("box" + std::to_string(i));
   std::map<std::string, int> watchers;
-  for (const std::string& life : lives) {
-    Membership membership(OptionsOf(life));
-    membership.Tick(MakeRoster(1, lives), At(0));
-    std::vector<Member> targets = membership.Targets();
+  for (const std::string& incarnation : incarnations) {
+    Membership membership(MakeOptions(incarnation));
+    membership.Tick(MakeRoster(1, incarnations), At(0));
+    std::vector<Member> targets = membership.HeartbeatTargets();
     CHECK(targets.size() == 4);
     for (const Member& target : targets) ++watchers[target.life()];
   }
-  for (const std::string& life : lives) CHECK(watchers[life] == 4);
+  for (const std::string& incarnation : incarnations)
+    CHECK(watchers[incarnation] == 4);
 }
 
 TEST_CASE("few slots move when a box joins") {
@@ -143,7 +148,7 @@
   std::vector<Roster> rosters = {
       MakeRoster(1, {"a"}), MakeRoster(5, {"a", "b"}),
       MakeRoster(9, {"a", "b"}), MakeRoster(12, {"b"})};
-  std::vector<Placement> placements = PlacementsOf(rosters, 3);
+  std::vector<Placement> placements = ComputePlacements(rosters, 3);
   REQUIRE(placements.size() == 3);
   CHECK(placements[0].epoch == 12);
   CHECK(placements[1].epoch == 5);
@@ -171,15 +176,15 @@
   CHECK(freshness.At(At(13.5)) == Freshness::kFresh);
 }
 
-std::vector<std::string> TargetsOf(const std::string& life,
+std::vector<std::string> TargetsOf(const std::string& incarnation,
                                    const Roster& roster) {
-  Membership membership(OptionsOf(life));
+  Membership membership(MakeOptions(incarnation));
   membership.Tick(roster, At(0));
-  std::vector<std::string> lives;
-  for (const Member& member : membership.Targets()) {
-    lives.push_back(member.life());
+  std::vector<std::string> incarnations;
+  for (const Member& member : membership.HeartbeatTargets()) {
+    incarnations.push_back(member.life());
   }
-  return lives;
+  return incarnations;
 }
 
 TEST_CASE("a box outside the roster has the targets it would have in it") {
@@ -190,98 +195,99 @@
   CHECK(TargetsOf("c", Roster()).empty());
 }
 
-Member MemberOf(const std::string& life) {
-  return MakeRoster(1, {life}).members(0);
+Member MakeMember(const std::string& incarnation) {
+  return MakeRoster(1, {incarnation}).members(0);
 }
 
 TEST_CASE("a member adds the newcomers it hears from, but none that leaves") {
-  Membership membership(OptionsOf("a"));
+  Membership membership(MakeOptions("a"));
   Roster roster = MakeRoster(1, {"a"});
   membership.Tick(roster, At(0));
-  membership.Heard(MemberOf("b"), 1, false, At(0.1));
-  membership.Heard(MemberOf("c"), 1, false, At(0.1));
-  membership.Heard(MemberOf("d"), 1, true, At(0.1));
-  CHECK(LivesOf(membership.Propose(false, At(0.2))) ==
+  membership.RecordHeartbeat(MakeMember("b"), 1, false, At(0.1));
+  membership.RecordHeartbeat(MakeMember("c"), 1, false, At(0.1));
+  membership.RecordHeartbeat(MakeMember("d"), 1, true, At(0.1));
+  CHECK(IncarnationsOf(membership.ProposeChange(false, At(0.2))) ==
         std::vector<std::string>{"a", "b", "c"});
-  // Not a stopping box, and not those that fell silent meanwhile.
-  CHECK(LivesOf(membership.Propose(true, At(0.2))).empty());
+  // Not a stopping box, and not those that fell is_silent meanwhile.
+  CHECK(IncarnationsOf(membership.ProposeChange(true, At(0.2))).empty());
   membership.Tick(roster, At(1));
-  membership.Heard(MemberOf("c"), 1, false, At(1.9));
+  membership.RecordHeartbeat(MakeMember("c"), 1, false, At(1.9));
   membership.Tick(roster, At(2));
-  CHECK(LivesOf(membership.Propose(false, At(2))) ==
+  CHECK(IncarnationsOf(membership.ProposeChange(false, At(2))) ==
         std::vector<std::string>{"a", "c"});
 }
 
-TEST_CASE("a life that was at a member's address before is not added") {
-  Membership membership(OptionsOf("a"));
-  Member old = MemberOf("b");
+TEST_CASE("a incarnation that was at a member's address before is not added") {
+  Membership membership(MakeOptions("a"));
+  Member old = MakeMember("b");
   old.set_life("b-old");
   membership.Tick(MakeRoster(1, {"a", "b"}), At(0));
-  membership.Heard(old, 1, false, At(0.1));
-  CHECK(!membership.Propose(false, At(0.2)).has_value());
+  membership.RecordHeartbeat(old, 1, false, At(0.1));
+  CHECK(!membership.ProposeChange(false, At(0.2)).has_value());
 }
 
 TEST_CASE("a box that was taken out is not added again at once") {
-  Membership membership(OptionsOf("a"));
+  Membership membership(MakeOptions("a"));
   membership.Tick(MakeRoster(1, {"a", "b"}), At(0));
   membership.Tick(MakeRoster(2, {"a"}), At(0.1));
-  membership.Heard(MemberOf("b"), 2, false, At(0.2));
-  CHECK(!membership.Propose(false, At(0.3)).has_value());
+  membership.RecordHeartbeat(MakeMember("b"), 2, false, At(0.2));
+  CHECK(!membership.ProposeChange(false, At(0.3)).has_value());
   for (int i = 1; i <= 4; ++i) {
     membership.Tick(MakeRoster(2, {"a"}), At(0.1 + i));
-    membership.Heard(MemberOf("b"), 2, false, At(0.1 + i));
+    membership.RecordHeartbeat(MakeMember("b"), 2, false, At(0.1 + i));
   }
-  CHECK(LivesOf(membership.Propose(false, At(4.2))).size() == 2);
+  CHECK(IncarnationsOf(membership.ProposeChange(false, At(4.2))).size() == 2);
 }
 
-TEST_CASE("a box that was paused adds nobody it heard of before") {
-  Membership membership(OptionsOf("a"));
+TEST_CASE("a box that was paused adds nobody it last_heartbeat of before") {
+  Membership membership(MakeOptions("a"));
   membership.Tick(MakeRoster(1, {"a"}), At(0));
-  membership.Heard(MemberOf("b"), 1, false, At(0.1));
+  membership.RecordHeartbeat(MakeMember("b"), 1, false, At(0.1));
   membership.Tick(MakeRoster(1, {"a"}), At(60));
-  CHECK(!membership.Propose(false, At(60)).has_value());
+  CHECK(!membership.ProposeChange(false, At(60)).has_value());
 }
 
-TEST_CASE("a member that sends to this box only now is not silent yet") {
+TEST_CASE("a member that sends to this box only now is not is_silent yet") {
   std::vector<std::string> all;
   for (int i = 0; i < 9; ++i) all.push_back("box" + std::to_string(i));
   // Among the six first, somebody sends to box0 who no longer does among all.
   std::vector<std::string> few(all.begin(), all.begin() + 6);
-  auto sends = [](const std::string& life, const Roster& roster) {
-    std::vector<std::string> targets = TargetsOf(life, roster);
+  auto sends = [](const std::string& incarnation, const Roster& roster) {
+    std::vector<std::string> targets = TargetsOf(incarnation, roster);
     return std::count(targets.begin(), targets.end(), "box0") > 0;
   };
   std::string changing;
-  for (const std::string& life : few) {
-    bool stops =
-        sends(life, MakeRoster(1, few)) && !sends(life, MakeRoster(1, all));
-    if (stops) changing = life;
+  for (const std::string& incarnation : few) {
+    bool stops = sends(incarnation, MakeRoster(1, few)) &&
+                 !sends(incarnation, MakeRoster(1, all));
+    if (stops) changing = incarnation;
   }
   REQUIRE(!changing.empty());
-  Membership membership(OptionsOf("box0"));
-  auto beat = [&](uint64_t epoch, const std::vector<std::string>& lives,
+  Membership membership(MakeOptions("box0"));
+  auto beat = [&](uint64_t epoch, const std::vector<std::string>& incarnations,
                   double from, double until) {
-    Roster roster = MakeRoster(epoch, lives);
+    Roster roster = MakeRoster(epoch, incarnations);
     for (double at = from; at < until; at += 0.5) {
       membership.Tick(roster, At(at));
-      for (const std::string& life : lives) {
-        if (!sends(life, roster)) continue;
-        membership.Heard(MemberOf(life), epoch, false, At(at));
+      for (const std::string& incarnation : incarnations) {
+        if (!sends(incarnation, roster)) continue;
+        membership.RecordHeartbeat(MakeMember(incarnation), epoch, false,
+                                   At(at));
       }
     }
   };
   beat(1, few, 0, 2);
   beat(2, all, 2, 10);
   membership.Tick(MakeRoster(3, few), At(10));
-  CHECK(!membership.Propose(false, At(10.1)).has_value());
+  CHECK(!membership.ProposeChange(false, At(10.1)).has_value());
 }
 
 TEST_CASE("boxes that start together need few records") {
   constexpr int kBoxes = 64;
   std::vector<std::unique_ptr<Membership>> boxes;
   for (int i = 0; i < kBoxes; ++i) {
-    std::string life = "box" + std::to_string(i);
-    boxes.push_back(std::make_unique<Membership>(OptionsOf(life)));
+    std::string incarnation = "box" + std::to_string(i);
+    boxes.push_back(std::make_unique<Membership>(MakeOptions(incarnation)));
   }
   Roster roster;
   roster.set_data_centre("dc1");
@@ -292,14 +298,16 @@
       TimePoint now = At(beat + static_cast<double>(i) / kBoxes);
       auto index = static_cast<size_t>(i);
       boxes[index]->Tick(roster, now);
-      for (const Member& target : boxes[index]->Targets()) {
+      for (const Member& target : boxes[index]->HeartbeatTargets()) {
         size_t to = std::stoul(target.life().substr(3));
         boxes[to]->Tick(roster, now);
-        boxes[to]->Heard(MemberOf("box" + std::to_string(i)), 1, false, now);
+        boxes[to]->RecordHeartbeat(MakeMember("box" + std::to_string(i)), 1,
+                                   false, now);
       }
-      // A box proposes at its next beat, after it was heard.
+      // A box proposes at its next beat, after it was last_heartbeat.
       if (beat == 0 && i > 0) continue;
-      std::optional<RosterChange> change = boxes[index]->Propose(false, now);
+      std::optional<RosterChange> change =
+          boxes[index]->ProposeChange(false, now);
       if (!change.has_value()) continue;
       ++records;
       roster.set_epoch(roster.epoch() + 1);
--- a/leverwick/testing/replication_stream_test.cc
+++ b/leverwick/testing/replication_stream_test.cc
@@ -10,7 +10,7 @@
 namespace leverwick {
 namespace {
 
-constexpr char kLife[] = "a1-0123";
+constexpr char kIncarnation[] = "a1-0123";
 
 Intent MakeIntent(uint64_t sequence, uint32_t attempt) {
   Intent intent;
@@ -39,28 +39,29 @@
   return line;
 }
 
-// What a life has open and unappended; the plain truth that the receiver's
-// book is held against.
-struct Truth {
+// What a incarnation has open and unappended; the plain expected that the
+// receiver's book is records against.
+struct ExpectedRecords {
   std::map<uint64_t, std::vector<Intent>> open;
   std::map<uint64_t, BillLine> billed;
 
-  IntentBatch State() const {
-    IntentBatch state;
+  IntentBatch Snapshot() const {
+    IntentBatch snapshot;
     for (const auto& entry : open) {
-      for (const Intent& intent : entry.second) *state.add_opened() = intent;
+      for (const Intent& intent : entry.second) *snapshot.add_opened() = intent;
     }
-    for (const auto& entry : billed) *state.add_billed() = entry.second;
-    return state;
+    for (const auto& entry : billed) *snapshot.add_billed() = entry.second;
+    return snapshot;
   }
 };
 
-bool Same(const IntentBook::Held& held, const Truth& truth) {
-  if (held.open.size() != truth.open.size()) return false;
-  if (held.billed.size() != truth.billed.size()) return false;
-  for (const auto& entry : truth.open) {
-    auto found = held.open.find(entry.first);
-    if (found == held.open.end()) return false;
+bool Matches(const IntentStore::Records& records,
+             const ExpectedRecords& expected) {
+  if (records.open.size() != expected.open.size()) return false;
+  if (records.billed.size() != expected.billed.size()) return false;
+  for (const auto& entry : expected.open) {
+    auto found = records.open.find(entry.first);
+    if (found == records.open.end()) return false;
     if (found->second.size() != entry.second.size()) return false;
     for (size_t i = 0; i < entry.second.size(); ++i) {
       bool same = found->second[i].SerializeAsString() ==
@@ -68,9 +69,9 @@
       if (!same) return false;
     }
   }
-  for (const BillLine& line : held.billed) {
-    auto found = truth.billed.find(line.sequence());
-    if (found == truth.billed.end()) return false;
+  for (const BillLine& line : records.billed) {
+    auto found = expected.billed.find(line.sequence());
+    if (found == expected.billed.end()) return false;
     if (found->second.SerializeAsString() != line.SerializeAsString()) {
       return false;
     }
@@ -79,83 +80,87 @@
 }
 
 // A stream over a link that loses messages and answers, repeats and delays.
-class Link {
+class FaultyLink {
  public:
-  explicit Link(uint32_t seed) : random_(seed), sender_(kLife) {}
+  explicit FaultyLink(uint32_t seed) : random_(seed), sender_(kIncarnation) {}
 
   bool Chance(int percent) {
     return static_cast<int>(random_() % 100) < percent;
   }
 
   // Something happens to a request, and the stream is told.
-  void Change() {
-    IntentBatch news;
-    if (Chance(45) || truth_.open.empty()) {
+  void ApplyRandomChange() {
+    IntentBatch delta;
+    if (Chance(45) || expected_.open.empty()) {
       ++sequence_;
-      truth_.open[sequence_] = {MakeIntent(sequence_, 1)};
-      *news.add_opened() = truth_.open[sequence_][0];
+      expected_.open[sequence_] = {MakeIntent(sequence_, 1)};
+      *delta.add_opened() = expected_.open[sequence_][0];
     } else if (Chance(20)) {
-      auto entry = truth_.open.begin();
+      auto entry = expected_.open.begin();
       auto attempt = static_cast<uint32_t>(entry->second.size() + 1);
       entry->second.push_back(MakeIntent(entry->first, attempt));
-      *news.add_opened() = entry->second.back();
-    } else if (Chance(60) || truth_.billed.empty()) {
-      uint64_t sequence = truth_.open.begin()->first;
-      truth_.open.erase(sequence);
-      truth_.billed[sequence] = MakeLine(sequence, Chance(80));
-      *news.add_billed() = truth_.billed[sequence];
+      *delta.add_opened() = entry->second.back();
+    } else if (Chance(60) || expected_.billed.empty()) {
+      uint64_t sequence = expected_.open.begin()->first;
+      expected_.open.erase(sequence);
+      expected_.billed[sequence] = MakeLine(sequence, Chance(80));
+      *delta.add_billed() = expected_.billed[sequence];
     } else {
-      uint64_t sequence = truth_.billed.begin()->first;
-      truth_.billed.erase(sequence);
-      news.add_appended(sequence);
+      uint64_t sequence = expected_.billed.begin()->first;
+      expected_.billed.erase(sequence);
+      delta.add_appended(sequence);
     }
-    sender_.Add(news);
+    sender_.AddDelta(delta);
   }
 
-  // Sends one message; `bad` percent of them meet a fault.
-  void Send(int bad) {
-    if (!sender_.begun()) {
-      sender_.Begin(++generation_);
-      if (Chance(50)) Change();  // between the beginning and its state
-      sender_.AddState(truth_.State());
+  // Sends one message; `fault_percent` percent of them meet a fault.
+  void SendMessage(int fault_percent) {
+    if (!sender_.has_begun()) {
+      sender_.BeginGeneration(++generation_);
+      if (Chance(50))
+        ApplyRandomChange();  // between the beginning and its snapshot
+      sender_.AddSnapshot(expected_.Snapshot());
     }
-    CopyBatch message = sender_.Next(3);
+    CopyBatch message = sender_.NextMessage(3);
     sent_.push_back(message);
-    bool lost = Chance(bad);
-    bool accepted = !lost && book_.TakeCopies(message);
-    if (accepted) Acknowledged();
-    if (Chance(bad)) book_.TakeCopies(sent_[random_() % sent_.size()]);
-    if (!accepted || Chance(bad)) sender_.Failed();
+    bool lost = Chance(fault_percent);
+    bool accepted = !lost && store_.ApplyMessage(message);
+    if (accepted) RecordAcknowledged();
+    if (Chance(fault_percent))
+      store_.ApplyMessage(sent_[random_() % sent_.size()]);
+    if (!accepted || Chance(fault_percent)) sender_.RecordFailure();
   }
 
-  // Everything that was acknowledged open and is so still must be held.
-  bool HoldsAcknowledged() const {
-    IntentBook::Held held = book_.HeldOf(kLife);
+  // Everything that was acknowledged open and is so still must be records.
+  bool HasAcknowledged() const {
+    IntentStore::Records records = store_.RecordsFor(kIncarnation);
     std::set<uint64_t> known;
-    for (const auto& entry : held.open) known.insert(entry.first);
-    for (const BillLine& line : held.billed) known.insert(line.sequence());
+    for (const auto& entry : records.open) known.insert(entry.first);
+    for (const BillLine& line : records.billed) known.insert(line.sequence());
     for (uint64_t sequence : acknowledged_) {
-      bool over = truth_.open.count(sequence) == 0 &&
-                  truth_.billed.count(sequence) == 0;
+      bool over = expected_.open.count(sequence) == 0 &&
+                  expected_.billed.count(sequence) == 0;
       if (!over && known.count(sequence) == 0) return false;
     }
     return true;
   }
 
-  bool Agrees() const { return Same(book_.HeldOf(kLife), truth_); }
-  bool quiet() const { return sender_.idle(); }
+  bool MatchesExpected() const {
+    return Matches(store_.RecordsFor(kIncarnation), expected_);
+  }
+  bool is_idle() const { return sender_.is_idle(); }
 
  private:
-  void Acknowledged() {
-    for (const auto& entry : book_.HeldOf(kLife).open) {
+  void RecordAcknowledged() {
+    for (const auto& entry : store_.RecordsFor(kIncarnation).open) {
       acknowledged_.insert(entry.first);
     }
   }
 
   std::mt19937 random_;
-  CopySender sender_;
-  IntentBook book_;
-  Truth truth_;
+  ReplicationSender sender_;
+  IntentStore store_;
+  ExpectedRecords expected_;
   uint64_t sequence_ = 0;
   uint64_t generation_ = 0;
   std::vector<CopyBatch> sent_;
@@ -165,49 +170,49 @@
 TEST_CASE("a peer's book comes to agree, whatever the link does") {
   for (uint32_t seed = 1; seed <= 300; ++seed) {
     CAPTURE(seed);
-    Link link(seed);
+    FaultyLink link(seed);
     for (int i = 0; i < 200; ++i) {
-      link.Change();
-      if (link.Chance(60)) link.Send(15);
-      REQUIRE(link.HoldsAcknowledged());
+      link.ApplyRandomChange();
+      if (link.Chance(60)) link.SendMessage(15);
+      REQUIRE(link.HasAcknowledged());
     }
-    for (int i = 0; i < 1000 && !link.quiet(); ++i) link.Send(0);
-    REQUIRE(link.quiet());
-    REQUIRE(link.Agrees());
+    for (int i = 0; i < 1000 && !link.is_idle(); ++i) link.SendMessage(0);
+    REQUIRE(link.is_idle());
+    REQUIRE(link.MatchesExpected());
   }
 }
 
 TEST_CASE("a message out of order is refused, a repeated one accepted") {
-  CopySender sender(kLife);
-  CHECK(!sender.begun());
-  sender.Begin(1);
-  sender.AddState(IntentBatch());
-  CopyBatch first = sender.Next(10);
-  IntentBatch news;
-  *news.add_opened() = MakeIntent(1, 1);
-  sender.Add(news);
-  CopyBatch second = sender.Next(10);
-  CHECK(sender.idle());
-  IntentBook book;
-  CHECK(!book.TakeCopies(second));
-  CHECK(book.TakeCopies(first));
+  ReplicationSender sender(kIncarnation);
+  CHECK(!sender.has_begun());
+  sender.BeginGeneration(1);
+  sender.AddSnapshot(IntentBatch());
+  CopyBatch first = sender.NextMessage(10);
+  IntentBatch delta;
+  *delta.add_opened() = MakeIntent(1, 1);
+  sender.AddDelta(delta);
+  CopyBatch second = sender.NextMessage(10);
+  CHECK(sender.is_idle());
+  IntentStore store;
+  CHECK(!store.ApplyMessage(second));
+  CHECK(store.ApplyMessage(first));
   CopyBatch third = second;
   third.set_number(3);
-  CHECK(!book.TakeCopies(third));  // the second is missing
-  CHECK(book.TakeCopies(second));
-  CHECK(book.TakeCopies(second));
-  CHECK(book.size() == 1);
+  CHECK(!store.ApplyMessage(third));  // the second is missing
+  CHECK(store.ApplyMessage(second));
+  CHECK(store.ApplyMessage(second));
+  CHECK(store.size() == 1);
   second.set_number(3);
   second.set_opened_targets(0, 99);  // of a target never named
-  CHECK(!book.TakeCopies(second));
-  CHECK(!book.TakeCopies(second));
-  CHECK(book.size() == 1);
+  CHECK(!store.ApplyMessage(second));
+  CHECK(!store.ApplyMessage(second));
+  CHECK(store.size() == 1);
 }
 
 TEST_CASE("a request costs a peer few bytes") {
-  CopySender sender(kLife);
-  sender.Begin(1);
-  sender.AddState(IntentBatch());
+  ReplicationSender sender(kIncarnation);
+  sender.BeginGeneration(1);
+  sender.AddSnapshot(IntentBatch());
   constexpr uint64_t kRequests = 100;
   IntentBatch opened;
   IntentBatch billed;
@@ -216,10 +221,10 @@
     *opened.add_opened() = MakeIntent(sequence, 1);
     *billed.add_billed() = MakeLine(sequence, true);
   }
-  sender.Add(opened);
-  size_t bytes = sender.Next(kRequests).ByteSizeLong();
-  sender.Add(billed);
-  bytes += sender.Next(kRequests).ByteSizeLong();
+  sender.AddDelta(opened);
+  size_t bytes = sender.NextMessage(kRequests).ByteSizeLong();
+  sender.AddDelta(billed);
+  bytes += sender.NextMessage(kRequests).ByteSizeLong();
   CHECK(bytes / kRequests < 32);
 }
 
--- a/net/operator_client.cc
+++ b/net/operator_client.cc
@@ -68,7 +68,7 @@
     if (error || reply.records().empty()) return error;
     for (const TailRecord& tail : reply.records()) {
       BillRecord record;
-      if (DecodeRecord(tail.data(), &record)) ledger->Read(record);
+      if (DecodeRecord(tail.data(), &record)) ledger->Apply(record);
       from = tail.offset() + 1;
     }
   }
--- a/scenario/checks.cc
+++ b/scenario/checks.cc
@@ -374,7 +374,7 @@
          ", unknown " + std::to_string(unknown) + ", no answer " +
          std::to_string(lost) + ", runs " + std::to_string(runs.size()) +
          ", bills " + std::to_string(ledger.lines().size() - voids) +
-         ", repeated lines dropped " + std::to_string(ledger.repeated());
+         ", repeated lines dropped " + std::to_string(ledger.duplicates());
 }
 
 }  // namespace leverwick
