--- a/leverwick/bills.cc
+++ b/leverwick/bills.cc
@@ -1,7 +1,8 @@
-// A copy stream keeps order, and begins anew after a loss. Between the new
-// beginning and its end the book holds what it records before as well, so that
-// a box that dies then loses nothing; what the log has meanwhile is settled
-// into a second line with the same id, and the ledger drops it.
+// A replication stream is ordered and starts a new generation with a full
+// snapshot after a loss. Until that snapshot is complete, the store also keeps
+// the records of the previous generation, so a sender that crashes meanwhile
+// loses nothing. Records that reached the log in the meantime are settled into
+// a second line with the same id, which the ledger drops.
 
 #include "leverwick/bills.h"
 
@@ -79,7 +80,8 @@
 void IntentStore::ApplyLocked(const IntentBatch& batch,
                               Incarnation* incarnation) {
   if (batch.begins()) {
-    // What is not stated again was appended, but only the whole state tells.
+    // Records missing from the new snapshot were appended to the log, but this
+    // is only certain once the snapshot is complete.
     for (auto& entry : incarnation->current.open)
       incarnation->previous.open.insert(entry);
     for (auto& entry : incarnation->current.billed)
--- a/leverwick/bills.h
+++ b/leverwick/bills.h
@@ -1,17 +1,20 @@
-// Bills: every request is billed exactly once, whatever dies on the way.
+// Billing records: every request is billed exactly once, also when the box that
+// serves it crashes.
 //
-// A request's id is its box incarnation and a sequence number. Before dispatch
-// the open request (an intent) is copied to peers of the data centre; at its
-// end a bill line takes its place, and the line goes to the platform's log in
-// batches. When a box incarnation is gone, the peers that hold its intents
-// settle them: they ask the endpoint what ran and append under the same ids.
-// The ledger keeps one line per id, so it does no harm that two peers settle,
-// that a incarnation thought dead wakes and appends too, or that an append is
-// duplicates because its answer was lost.
+// A request id consists of the box's incarnation ("life" in the schema) and a
+// sequence number. Before a request is dispatched, an intent (the open request)
+// is replicated to peers of the data centre. When the request completes, a bill
+// line replaces its intents, and bill lines are appended to the platform's log
+// in batches. When an incarnation is gone, the peers that hold its intents
+// settle them: they query the endpoints for what was executed and append bill
+// lines under the same ids. The ledger keeps one line per id. It is therefore
+// harmless if two peers settle the same request, if an incarnation that was
+// presumed dead resumes and appends too, or if an append is repeated because
+// its reply was lost.
 //
-//   BillQueue    a box's own lines on their way to the log
-//   IntentStore   what a box holds for other incarnations
-//   Ledger       reads the log: the one line that counts for each id
+//   BillQueue    a box's own lines that are not in the log yet
+//   IntentStore  replicas of the records of other incarnations
+//   Ledger       reads the log and selects the line that counts for each id
 
 #ifndef LEVERWICK_BILLS_H_
 #define LEVERWICK_BILLS_H_
@@ -31,28 +34,30 @@
 
 namespace leverwick {
 
-// "life.sequence".
+// Returns "incarnation.sequence".
 std::string RequestId(const std::string& incarnation, uint64_t sequence);
 
-// False when `id` is not of that form.
+// Parses an id made by RequestId. Returns false if `id` does not have that
+// form.
 bool ParseRequestId(const std::string& id, std::string* incarnation,
                     uint64_t* sequence);
 
-// A box's own finished lines, until the log has them. Thread-safe.
+// Finished bill lines of this box that are not in the log yet. Thread-safe.
 class BillQueue {
  public:
   explicit BillQueue(size_t max_queued) : max_queued_(max_queued) {}
 
-  // Whether the bound is reached, so that no new work may be taken.
+  // Returns true if the queue has reached its bound; new requests must then be
+  // rejected.
   bool full() const;
 
   void Add(BillLine line);
 
-  // The oldest lines, at most `max_lines`; they stay queued until
-  // RemoveAppended.
+  // Returns the oldest lines, at most `max_lines`. They stay queued until
+  // RemoveAppended is called.
   std::vector<BillLine> PeekOldest(size_t max_lines) const;
 
-  // Drops the `count` oldest lines, which the log now has.
+  // Removes the `count` oldest lines after the log has acknowledged them.
   void RemoveAppended(size_t count);
 
   size_t size() const;
@@ -63,31 +68,32 @@
   std::deque<BillLine> lines_;
 };
 
-// Open requests and unappended lines of other incarnations. Thread-safe.
+// Replicas of the open requests and unappended bill lines of other
+// incarnations. Thread-safe.
 class IntentStore {
  public:
+  // Applies a batch of one incarnation.
   void Apply(const IntentBatch& batch);
 
-  // Takes a message of a incarnation's copy stream; false when the stream must
-  // begin anew.
+  // Applies a message of the replication stream of an incarnation. Returns
+  // false if the sender must start a new generation.
   bool ApplyMessage(const CopyBatch& message);
 
-  // All that is held of a incarnation; intents of a sequence already billed are
-  // left out.
+  // All records held for one incarnation. Intents whose sequence is already
+  // billed are left out.
   struct Records {
     std::map<uint64_t, std::vector<Intent>> open;  // dispatches by sequence
     std::vector<BillLine> billed;
   };
   Records RecordsFor(const std::string& incarnation) const;
 
-  // Forgets sequences that have been settled, and the incarnation with its last
-  // one.
+  // Removes settled sequences, and the incarnation when it has no records left.
   void RemoveSettled(const std::string& incarnation,
                      const std::vector<uint64_t>& sequences);
 
   std::vector<std::string> incarnations() const;
 
-  // Open requests and lines held now.
+  // Returns the number of open requests and bill lines held.
   size_t size() const;
 
  private:
@@ -97,7 +103,7 @@
   };
   struct Incarnation {
     Entries current;
-    Entries previous;  // held until the stream's new beginning is complete
+    Entries previous;  // kept until the new generation's snapshot is complete
     ReplicationReceiver receiver;
   };
 
@@ -109,7 +115,7 @@
   std::map<std::string, Incarnation> incarnations_;
 };
 
-// What an endpoint says of one dispatch.
+// What an endpoint reports about one dispatch.
 struct DispatchState {
   enum State { kUnreachable, kNeverSeen, kRunning, kFinished };
   State state = kUnreachable;
@@ -117,23 +123,24 @@
   int64_t completion_tokens = 0;
 };
 
-// The line that settles a lost request, from what its endpoints said of each
-// dispatch; false when it is too early to say. `give_up` ends the waiting for
-// endpoints that can't be reached or tell nothing.
+// Builds the bill line that settles a lost request from what its endpoints
+// reported about each dispatch. Returns false while the outcome is still
+// undecided. With `give_up`, endpoints that are unreachable or have not
+// finished the request are no longer waited for, and the outcome is UNKNOWN.
 bool BuildSettlementLine(uint64_t sequence,
                          const std::vector<Intent>& dispatches,
                          const std::vector<DispatchState>& states, bool give_up,
                          BillLine* line);
 
-// The one line that counts for each request id. Not thread-safe.
+// Selects the one bill line that counts for each request id. Not thread-safe.
 class Ledger {
  public:
   void Apply(const BillRecord& record);
 
-  // Lines by request id. A void line stands only until another comes.
+  // Lines by request id. A VOID line is replaced by any later line of its id.
   const std::map<std::string, BillLine>& lines() const { return lines_; }
 
-  // Lines that were dropped because their id had one already.
+  // Number of lines dropped because their id already had one.
   uint64_t duplicates() const { return duplicates_; }
 
  private:
--- a/leverwick/testing/bills_test.cc
+++ b/leverwick/testing/bills_test.cc
@@ -19,7 +19,7 @@
   return line;
 }
 
-TEST_CASE("request ids are read decoded") {
+TEST_CASE("request ids round-trip through ParseRequestId") {
   std::string incarnation;
   uint64_t sequence = 0;
   CHECK(ParseRequestId(RequestId("box-1.a", 17), &incarnation, &sequence));
@@ -30,7 +30,8 @@
   CHECK(!ParseRequestId(".1", &incarnation, &sequence));
 }
 
-TEST_CASE("the ledger keeps one line an id, and a void settles nothing") {
+TEST_CASE(
+    "the ledger keeps one line per id, and a later line replaces a void one") {
   Ledger ledger;
   BillRecord record;
   record.set_life("a");
@@ -45,7 +46,7 @@
   CHECK(ledger.lines().at("a.1").outcome() == BillLine::ANSWERED);
 }
 
-TEST_CASE("any repeats of records give the same ids, each billed once") {
+TEST_CASE("records that are repeated in any order bill each id once") {
   CHECK(rc::check("ledger", [](const std::vector<uint8_t>& order) {
     Ledger ledger;
     std::set<std::string> billed;
@@ -67,7 +68,7 @@
   }));
 }
 
-TEST_CASE("the queue keeps lines until the log has them") {
+TEST_CASE("the bill queue keeps lines until they are removed as appended") {
   BillQueue queue(3);
   for (uint64_t i = 1; i <= 3; ++i) queue.Add(MakeLine(i, BillLine::ANSWERED));
   CHECK(queue.full());
@@ -86,7 +87,7 @@
   return intent;
 }
 
-TEST_CASE("the intent store takes messages in any order") {
+TEST_CASE("the intent store applies batches in any order") {
   IntentStore store;
   IntentBatch open;
   open.set_life("a");
@@ -113,7 +114,7 @@
   return result;
 }
 
-TEST_CASE("a lost request is settled by what its endpoints say") {
+TEST_CASE("a lost request is settled by the reports of its endpoints") {
   std::vector<Intent> two = {MakeIntent(1), MakeIntent(1)};
   using S = DispatchState;
   BillLine line;
@@ -133,7 +134,7 @@
   CHECK(line.legs_size() == 2);
 }
 
-TEST_CASE("a record is read decoded from the log's text, but for the reason") {
+TEST_CASE("an encoded record decodes to the same record, but for the reason") {
   CHECK(rc::check("compact", [](const std::vector<uint32_t>& numbers) {
     BillRecord record;
     record.set_life("a1-0123");
