--- a/leverwick/claims.cc
+++ b/leverwick/claims.cc
@@ -1,15 +1,16 @@
-// Activation walks a slot's placements from the newest previous one backwards.
-// A replica that answers "complete" ends the walk with its claims. A replica
-// that answers "nothing" proves that its epoch never was active, since
-// activation needs every replica, and never will be, since it is now sealed:
-// the walk goes one placement further back. When no replica answers, the slot
-// stays inactive, unless the platform's list says that all of them are gone for
-// good; then the slot opens with every key in doubt for one retention.
+// Activation walks the placements of a slot from the newest previous one
+// backwards and sends a seal to the replicas of each. A replica that replies
+// COMPLETE ends the walk and supplies its claims. A replica that replies
+// NOTHING proves that its epoch was never active, since activation needs every
+// replica, and never will be, since it is now sealed; the walk continues with
+// the placement before. If no replica replies, the slot stays inactive, unless
+// the platform's list says that all of them are gone for good. The slot is then
+// activated with the outcome of every key uncertain for one retention period.
 //
-// A put that reached some replicas only leaves a claim that was never granted.
-// The owner doesn't count it as made, because its own replica is written last;
-// a later owner may find it and then answers "in progress" or "unknown",
-// which errs on the safe side.
+// A put that reached only some replicas leaves a claim that was never granted.
+// The owner does not see it, because it writes its own replica last. A later
+// owner may find it and then replies "in progress" or "unknown", which cannot
+// lead to a second execution.
 
 #include "leverwick/claims.h"
 
@@ -47,7 +48,8 @@
   replica.sealed_epoch = std::max(replica.sealed_epoch, request.slot().epoch());
   SealReply reply;
   if (replica.installed_epoch < request.for_epoch()) return reply;
-  // Installed later than asked: it holds all the asked epoch sealed, and more.
+  // A replica installed at a later epoch holds all claims of the requested
+  // epoch and possibly more.
   reply.set_have(SealReply::COMPLETE);
   reply.set_doubtful_until_ms(SinceEpoch(replica.doubtful_until).count());
   for (const auto& entry : replica.claims) *reply.add_claims() = entry.second;
@@ -60,7 +62,7 @@
   uint64_t epoch = request.slot().epoch();
   if (epoch < replica.sealed_epoch || epoch < replica.installed_epoch)
     return false;
-  // An install may arrive again, late, after puts: it must undo none of them.
+  // A delayed duplicate of an install must not undo puts that came after it.
   if (epoch > replica.installed_epoch) replica.claims.clear();
   replica.installed_epoch = epoch;
   replica.sealed_epoch = epoch;
@@ -242,7 +244,8 @@
   *request.mutable_slot() = slot;
   *request.mutable_claim() = claim;
   request.mutable_claim()->set_change(++state->last_change);
-  // The owner's own replica last: it holds only what all the others hold.
+  // The owner writes its own replica last, so it holds only claims that all the
+  // others hold.
   for (auto member = placement.replicas.rbegin();
        member != placement.replicas.rend(); ++member) {
     if (!PutAt(*member, request)) return false;
@@ -277,12 +280,13 @@
   *reply.mutable_found() = found;
   Result result = Result::kOk;
   if (found.request_id() == requested.request_id()) {
-    // The same attempt asks again because our answer to it was lost.
+    // A retry of the request that holds the claim: its reply was lost.
     result = Result::kOk;
   } else if (found.request() != requested.request()) {
     result = Result::kKeyReused;
   } else if (found.state() == Claim::DONE) {
-    result = Result::kAnswerNotKept;  // the caller of this looks in `found`
+    result = Result::kAnswerNotKept;  // the caller reads the stored response
+                                      // from `found`
   } else if (found.state() == Claim::RUNNING &&
              CreatedAt(found) + options_.max_request_duration > now) {
     result = Result::kInProgress;
--- a/leverwick/claims.h
+++ b/leverwick/claims.h
@@ -1,21 +1,23 @@
-// Claims: a request that may not be repeated runs at most once, also when its
-// caller retries the key through another box or data centre.
+// Idempotency claims: a request that is not repeatable runs at most once, also
+// when its caller retries the key through another box or data centre.
 //
-// Each key has one owner (slots.h). The owner grants a claim only after every
-// replica of the slot has stored it: write all. A new owner, once the roster
-// that names it is in the log, seals: it reads the claims from one replica of
-// the epoch before, and that replica refuses the previous epoch from then on:
-// read one. Write-all meets read-one, so an previous owner that was frozen and
-// wakes can grant nothing the new one doesn't know of. No clock decides
-// ownership.
+// Each key belongs to a slot (a partition of the idempotency keys, see
+// slots.h), and each slot has one owner. The owner grants a claim only after
+// every replica of the slot has stored it (write all). A new owner, once the
+// roster that names it is in the log, seals the previous epoch: it reads the
+// claims from one replica of that epoch, and the replica rejects the previous
+// epoch from then on (read one). Every write set contains every read set, so a
+// previous owner that was paused and resumes cannot grant a claim that the new
+// owner is unaware of. Ownership does not depend on clocks.
 //
-// ClaimReplicas is the part of every box that stores replicas. ClaimOwner is
-// the part that grants, for the slots the box owns.
+// ClaimReplicas stores replicas and runs on every box. ClaimOwner grants claims
+// for the slots that this box owns.
 //
 //   ClaimReply reply = owner.Handle(request, now);
 //   if (reply.code() == 0) ...  // granted: dispatch, then finish it
 //
-// A claim granted and never dispatched is released, and may be made again.
+// A claim that was granted but never dispatched is released, and the key can be
+// claimed again.
 
 #ifndef LEVERWICK_CLAIMS_H_
 #define LEVERWICK_CLAIMS_H_
@@ -35,34 +37,34 @@
 
 namespace leverwick {
 
-// Stores replicas of slots' claims. Thread-safe; one lock a slot.
+// Stores replicas of the claims of slots. Thread-safe; one lock per slot.
 class ClaimReplicas {
  public:
-  // Reads the claims of `for_epoch` and refuses that epoch from now on.
+  // Returns the claims of `for_epoch` and rejects that epoch from then on.
   SealReply Seal(const SealRequest& request);
 
-  // Takes over all claims of a slot at an epoch; false when a later epoch has
-  // been sealed or installed.
+  // Installs all claims of a slot at an epoch. Returns false if a later epoch
+  // has been sealed or installed.
   bool Install(const InstallRequest& request);
 
-  // Stores one claim; false unless the slot is installed at just this epoch
-  // and not sealed.
+  // Stores one claim. Returns false unless exactly this epoch is installed and
+  // not sealed.
   bool Put(const PutRequest& request);
 
-  // The claim of a key; false when there is none at this epoch.
+  // Finds the claim of a key. Returns false if there is none at this epoch.
   bool Find(const SlotRef& slot, const std::string& key, Claim* claim) const;
 
-  // Forgets claims made before `oldest`. Returns how many.
+  // Removes claims made before `oldest` and returns how many were removed.
   size_t Expire(WallTime oldest);
 
-  // Claims sealed now.
+  // Returns the number of claims held.
   size_t size() const;
 
  private:
   struct Replica {
     mutable std::mutex mutex;
     uint64_t installed_epoch = 0;
-    uint64_t sealed_epoch = 0;  // epochs below this are refused
+    uint64_t sealed_epoch = 0;  // epochs below this are rejected
     WallTime doubtful_until{};
     std::map<std::string, Claim> claims;
   };
@@ -74,8 +76,8 @@
       replicas_;
 };
 
-// How the owner reaches the replicas on other boxes; each call returns an error
-// when the box could not be reached or is another incarnation.
+// Calls of the owner to replicas on other boxes. Each call returns an error if
+// the box is unreachable or runs another incarnation.
 class ClaimPeers {
  public:
   virtual ~ClaimPeers() = default;
@@ -86,23 +88,24 @@
                                   Ack* reply) = 0;
   virtual std::error_code Put(const Member& member, const PutRequest& request,
                               Ack* reply) = 0;
-  // Whether the platform's list says that the incarnation is over for good.
+  // Returns true if the incarnation has ended for good according to the
+  // platform's list.
   virtual bool IsGone(const Member& member) = 0;
 };
 
 struct ClaimOptions {
   std::string incarnation;  // of this box
   std::string data_centre;
-  nanoseconds retention{0};             // how long a key is remembered
-  nanoseconds max_request_duration{0};  // longest incarnation of a request
+  nanoseconds retention{0};             // how long a claim is kept
+  nanoseconds max_request_duration{0};  // deadline of a request
 };
 
-// Grants claims for the slots this box owns. Thread-safe; one lock a slot,
-// sealed over the calls to the replicas.
+// Grants claims for the slots that this box owns. Thread-safe; one lock per
+// slot, held during the calls to the replicas.
 class ClaimOwner {
  public:
-  // `placements` gives a slot's placements, newest first, from the table in
-  // force. The pointers must outlive the owner.
+  // `placements` returns the placements of a slot, newest first, from the
+  // current table. The pointers must outlive the owner.
   using PlacementSource = std::function<std::vector<Placement>(uint32_t slot)>;
   ClaimOwner(ClaimOptions options, ClaimReplicas* replicas, ClaimPeers* peers,
              PlacementSource placements);
@@ -110,17 +113,17 @@
   // Grants, finishes or releases a claim.
   ClaimReply Handle(const ClaimRequest& request, WallTime now);
 
-  // Activates the slots this box owns and has not activated yet; returns
-  // whether all `slots` of them are active.
+  // Activates the slots that this box owns and has not activated yet. Returns
+  // true if all of those among the first `slots` slots are active.
   bool ActivateOwned(uint32_t slots, WallTime now);
 
  private:
   struct Slot {
     std::mutex mutex;
     uint64_t active_epoch = 0;
-    uint64_t last_change = 0;  // of the puts of this epoch
-    // Until then keys may have been claimed on replicas that were all lost. The
-    // replicas carry it on, for the next owner must know it too.
+    uint64_t last_change = 0;  // number of the last put in this epoch
+    // Until this time, keys may have been claimed on replicas that were all
+    // lost. It is stored on the replicas because the next owner needs it too.
     WallTime doubtful_until{};
   };
 
@@ -155,7 +158,7 @@
   std::map<uint32_t, std::unique_ptr<Slot>> slots_;
 };
 
-// The digest under which a caller's key is claimed.
+// Returns the digest under which the key of a caller is claimed.
 std::string ClaimKey(const std::string& organisation, const std::string& key);
 
 }  // namespace leverwick
--- a/leverwick/testing/claims_test.cc
+++ b/leverwick/testing/claims_test.cc
@@ -1,7 +1,7 @@
-// The claim protocol under a hostile network: a few boxes whose views of the
-// roster lag, calls that fail, whose answers are lost, or that arrive late,
-// other boxes acting in the middle of a call, and boxes that die. Whatever
-// happens, a key that was granted and not released is never granted again.
+// Tests the claim protocol in a simulated cluster whose boxes have applied
+// different rosters. Calls fail, lose their replies or arrive late or twice,
+// other boxes act in the middle of a call, and boxes crash. In every case a key
+// that was granted and not released must not be granted again.
 
 #include "leverwick/claims.h"
 
@@ -35,8 +35,8 @@
   Cluster* cluster;
   std::string incarnation;
   bool dead = false;
-  bool busy = false;        // in the middle of a call of its own
-  size_t roster_count = 0;  // rosters this box knows of
+  bool busy = false;        // a request of this box is in progress
+  size_t roster_count = 0;  // number of rosters this box has applied
   ClaimReplicas replicas;
   std::unique_ptr<ClaimOwner> owner;
 };
@@ -73,8 +73,8 @@
     return nullptr;
   }
 
-  // A call to another box: it may fail, be late, or lose its answer, and
-  // others may act before it arrives.
+  // Calls another box. The call may fail, arrive late or lose its reply, and
+  // other boxes may act before and after it arrives.
   std::error_code Call(const Member& member, std::function<void(Box*)> action) {
     Box* box = Find(member.life());
     if (box->dead) return Result::kUnreachable;
@@ -115,7 +115,7 @@
     } else if (event == 1 && !delayed_.empty()) {
       auto action = delayed_[static_cast<size_t>(
           Pick(static_cast<int>(delayed_.size())))];
-      action();  // it may arrive twice
+      action();  // the call may be delivered twice
     } else if (event == 2 && may_kill && Pick(10) == 0) {
       boxes_[static_cast<size_t>(Pick(kBoxes))]->dead = true;
     } else if (event < 8) {
@@ -146,7 +146,8 @@
       bool release = Pick(2) == 0;
       request.mutable_claim()->set_state(release ? Claim::RELEASED
                                                  : Claim::DONE);
-      // Whoever releases will not dispatch, whether or not it is stored.
+      // The request is not dispatched after a release, whether or not the
+      // release is stored.
       if (release) granted_[key].erase(id);
     }
     ClaimReply reply = box.owner->Handle(request, kNow);
@@ -183,7 +184,7 @@
 
 std::error_code Box::Seal(const Member& member, const SealRequest& request,
                           SealReply* reply) {
-  // The reply is filled only if the call comes back.
+  // The reply is filled only if the call has been executed.
   auto sealed = std::make_shared<SealReply>();
   std::error_code error = cluster->Call(member, [request, sealed](Box* box) {
     *sealed = box->replicas.Seal(request);
@@ -216,7 +217,9 @@
   return cluster->Find(member.life())->dead;
 }
 
-TEST_CASE("a key is never granted again, whatever the network does") {
+TEST_CASE(
+    "a key is never granted twice under network faults, crashes and lagging "
+    "rosters") {
   int grants = 0;
   for (unsigned seed = 1; seed <= 1500; ++seed) {
     Cluster cluster(seed);
@@ -225,7 +228,8 @@
     INFO("seed " << seed);
     REQUIRE(cluster.duplicate_grants() == 0);
   }
-  // The test means nothing if hardly anything was granted.
+  // Guards against a simulation that grants almost nothing and so tests
+  // nothing.
   CHECK(grants > 2000);
 }
 
@@ -260,7 +264,7 @@
   return options;
 }
 
-TEST_CASE("a claim found is answered with event stands") {
+TEST_CASE("a request for a claimed key gets the state of the claim") {
   TableBuilder site;
   site.AddRoster("dc1", {"a"});
   UnreachablePeers peers;
@@ -272,7 +276,7 @@
     return static_cast<Result>(owner.Handle(MakeRequest(id), now).code());
   };
   CHECK(code("r1", kNow) == Result::kOk);
-  CHECK(code("r1", kNow) == Result::kOk);  // its answer was lost
+  CHECK(code("r1", kNow) == Result::kOk);  // a retry after a lost reply
   CHECK(code("r2", kNow) == Result::kInProgress);
   CHECK(code("r2", kNow + std::chrono::minutes(2)) ==
         Result::kKeyOutcomeUnknown);
@@ -291,8 +295,9 @@
   CHECK(code("r5", kNow + std::chrono::minutes(11)) == Result::kOk);
 }
 
-// The model seldom brings these two orders to a bad end; here they are alone.
-TEST_CASE("a late install or an older put undoes nothing") {
+// The simulation seldom produces a failure from these two message orders, so
+// they are tested directly.
+TEST_CASE("a delayed install or an older put does not undo a newer put") {
   ClaimReplicas replicas;
   InstallRequest install;
   install.mutable_slot()->set_epoch(5);
@@ -318,7 +323,7 @@
   CHECK(found.request_id() == "r2");
 }
 
-TEST_CASE("a slot whose every copy was lost holds its keys in doubt") {
+TEST_CASE("after the loss of all replicas the outcome of keys is unknown") {
   TableBuilder site;
   site.AddRoster("dc1", {"x", "y"}).AddRoster("dc1", {"a"});
   UnreachablePeers peers;
