--- a/leverwick/bill_encoding.cc
+++ b/leverwick/bill_encoding.cc
@@ -1,5 +1,5 @@
-// Legs are parallel packed lists, which protobuf writes as bare dictionary: a
-// line with one leg takes some 20 bytes.
+// The legs of a line are encoded as parallel packed lists, which protobuf
+// writes without a tag per element: a line with one leg takes about 20 bytes.
 
 #include "leverwick/bill_encoding.h"
 
--- a/leverwick/replication_stream.cc
+++ b/leverwick/replication_stream.cc
@@ -1,7 +1,7 @@
-// The queue keeps order: requests are sent before their lines, and "appended"
-// only once all lines before it have gone, so the receiver never takes back
-// what it was told to forget. Numbers of targets hold for one generation.
-//
+// The queue preserves order: requests are sent before their bill lines, and
+// removals of appended lines only after all lines queued before them. The
+// receiver therefore never adds a record again after its removal. Target
+// indexes are valid for one generation.
 
 #include "leverwick/replication_stream.h"
 
--- a/leverwick/replication_stream.h
+++ b/leverwick/replication_stream.h
@@ -1,20 +1,22 @@
-// How a box tells a peer of its open requests and unappended bill lines.
+// Replication stream of a box's open requests and unappended bill lines to a
+// peer.
 //
-// A stream of numbered messages, one in flight at a time. What requests repeat
-// (organisation, endpoint, model, version) is named once and then by number.
-// After a message whose fate is unknown the stream is_first anew with all that
-// is open or unappended then, so a loss costs one larger message and the peer
-// never holds less than it was acknowledged to hold. The receiver refuses a
-// message out of order, and the sender then is_first anew.
+// The stream consists of numbered messages, one in flight at a time. Repeated
+// fields (organisation, endpoint, model, version) are sent once as a target and
+// then referenced by index. After a message whose delivery is unknown, the
+// sender starts a new generation with a snapshot of all open requests and
+// unappended lines. A loss thus costs one larger message, and the peer never
+// holds less than it has acknowledged. The receiver rejects a message that is
+// out of order, and the sender then starts a new generation.
 //
 //   ReplicationSender sender(incarnation);
-//   sender.BeginGeneration(generation);       // once at first, and after
-//   RecordFailure sender.AddSnapshot(snapshot);         // read after
-//   BeginGeneration sender.Add(delta);               // from now on CopyBatch
-//   message = sender.NextMessage(); if (the peer did not accept it)
-//   sender.RecordFailure();
+//   sender.BeginGeneration(generation);  // first, and after RecordFailure
+//   sender.AddSnapshot(snapshot);        // read after BeginGeneration
+//   sender.AddDelta(delta);              // for every later change
+//   CopyBatch message = sender.NextMessage(max_entries);
+//   if (the peer did not accept it) sender.RecordFailure();
 //
-//   ReplicationReceiver receiver;          // one a incarnation
+//   ReplicationReceiver receiver;        // one per incarnation
 //   IntentBatch batch;
 //   bool accepted = receiver.Decode(message, &batch);
 
@@ -31,37 +33,40 @@
 
 namespace leverwick {
 
-// Not thread-safe.
+// Sends the stream of one incarnation to one peer. Not thread-safe.
 class ReplicationSender {
  public:
   explicit ReplicationSender(std::string incarnation)
       : incarnation_(std::move(incarnation)) {}
 
-  // Whether BeginGeneration is not due.
+  // Returns false if BeginGeneration must be called before the next message.
   bool has_begun() const { return has_begun_; }
 
-  // Starts a generation, which must be above all before it of this incarnation.
-  // The snapshot must be read after this call: delta added before it is
-  // forgotten.
+  // Starts a generation. `generation` must exceed all earlier ones of this
+  // incarnation. The snapshot must be read after this call, because deltas
+  // added before it are discarded.
   void BeginGeneration(uint64_t generation);
 
-  // All that is open or unappended; goes before the delta added since
-  // BeginGeneration.
+  // Adds all open requests and unappended lines, ahead of the deltas added
+  // since BeginGeneration.
   void AddSnapshot(const IntentBatch& snapshot);
 
-  // Ignored while BeginGeneration is due, for the snapshot will hold it.
+  // Adds a change. Ignored until BeginGeneration is called, since the snapshot
+  // will contain it.
   void AddDelta(const IntentBatch& delta);
 
-  // Opened requests and lines that wait to be sent.
+  // Returns the number of opened requests and bill lines that wait to be sent.
   size_t queued() const;
 
-  // Nothing is to be sent.
+  // Returns true if there is nothing to send.
   bool is_idle() const;
 
-  // The next message, at max_entries `max_entries` opened requests and lines.
+  // Returns the next message, with at most `max_entries` opened requests and
+  // bill lines.
   CopyBatch NextMessage(size_t max_entries);
 
-  // The last message may or may not have come: BeginGeneration is due.
+  // Records that the delivery of the last message failed or is unknown.
+  // BeginGeneration must be called next.
   void RecordFailure() { has_begun_ = false; }
 
  private:
@@ -72,19 +77,20 @@
   bool has_snapshot_ = false;  // AddSnapshot was called in this generation
   uint64_t generation_ = 0;
   uint32_t last_number_ = 0;
-  size_t snapshot_opened_left_ =
-      0;  // of the queue's front, part of the snapshot
+  // Entries at the front of the queue that belong to the snapshot.
+  size_t snapshot_opened_left_ = 0;
   size_t snapshot_billed_left_ = 0;
   bool snapshot_sent_ = false;
   IntentBatch queue_;
   TargetDictionary targets_;
 };
 
-// Not thread-safe.
+// Receives the stream of one incarnation. Not thread-safe.
 class ReplicationReceiver {
  public:
-  // False: out of order, the sender must begin anew. A message that came
-  // before is accepted and `batch` left empty.
+  // Decodes a message. Returns false if it is out of order or malformed; the
+  // sender must then start a new generation. A message that was received before
+  // is accepted, with `batch` left empty.
   bool Decode(const CopyBatch& message, IntentBatch* batch);
 
  private:
@@ -94,7 +100,7 @@
 
   uint64_t generation_ = 0;
   uint32_t last_number_ = 0;
-  bool is_broken_ = false;  // a message of this generation made no sense
+  bool is_broken_ = false;  // this generation had a malformed message
   std::vector<CompactTarget> targets_;
 };
 
--- a/leverwick/testing/replication_stream_test.cc
+++ b/leverwick/testing/replication_stream_test.cc
@@ -39,8 +39,8 @@
   return line;
 }
 
-// What a incarnation has open and unappended; the plain expected that the
-// receiver's book is records against.
+// The open requests and unappended lines of an incarnation, with which the
+// records of the receiver are compared.
 struct ExpectedRecords {
   std::map<uint64_t, std::vector<Intent>> open;
   std::map<uint64_t, BillLine> billed;
@@ -79,7 +79,8 @@
   return true;
 }
 
-// A stream over a link that loses messages and answers, repeats and delays.
+// A replication stream over a link that loses messages and replies, repeats
+// messages and delays them.
 class FaultyLink {
  public:
   explicit FaultyLink(uint32_t seed) : random_(seed), sender_(kIncarnation) {}
@@ -88,7 +89,7 @@
     return static_cast<int>(random_() % 100) < percent;
   }
 
-  // Something happens to a request, and the stream is told.
+  // Changes the state of a random request and adds the delta to the stream.
   void ApplyRandomChange() {
     IntentBatch delta;
     if (Chance(45) || expected_.open.empty()) {
@@ -113,12 +114,13 @@
     sender_.AddDelta(delta);
   }
 
-  // Sends one message; `fault_percent` percent of them meet a fault.
+  // Sends one message; each kind of fault has a probability of `fault_percent`
+  // percent.
   void SendMessage(int fault_percent) {
     if (!sender_.has_begun()) {
       sender_.BeginGeneration(++generation_);
       if (Chance(50))
-        ApplyRandomChange();  // between the beginning and its snapshot
+        ApplyRandomChange();  // after BeginGeneration, before the snapshot
       sender_.AddSnapshot(expected_.Snapshot());
     }
     CopyBatch message = sender_.NextMessage(3);
@@ -131,7 +133,8 @@
     if (!accepted || Chance(fault_percent)) sender_.RecordFailure();
   }
 
-  // Everything that was acknowledged open and is so still must be records.
+  // Returns true if every request that was acknowledged and is still open or
+  // unappended is held by the receiver.
   bool HasAcknowledged() const {
     IntentStore::Records records = store_.RecordsFor(kIncarnation);
     std::set<uint64_t> known;
@@ -167,7 +170,7 @@
   std::set<uint64_t> acknowledged_;
 };
 
-TEST_CASE("a peer's book comes to agree, whatever the link does") {
+TEST_CASE("the records of a peer converge despite faults of the link") {
   for (uint32_t seed = 1; seed <= 300; ++seed) {
     CAPTURE(seed);
     FaultyLink link(seed);
@@ -182,7 +185,7 @@
   }
 }
 
-TEST_CASE("a message out of order is refused, a repeated one accepted") {
+TEST_CASE("a message out of order is rejected, a repeated one accepted") {
   ReplicationSender sender(kIncarnation);
   CHECK(!sender.has_begun());
   sender.BeginGeneration(1);
@@ -198,18 +201,18 @@
   CHECK(store.ApplyMessage(first));
   CopyBatch third = second;
   third.set_number(3);
-  CHECK(!store.ApplyMessage(third));  // the second is missing
+  CHECK(!store.ApplyMessage(third));  // the second message is missing
   CHECK(store.ApplyMessage(second));
   CHECK(store.ApplyMessage(second));
   CHECK(store.size() == 1);
   second.set_number(3);
-  second.set_opened_targets(0, 99);  // of a target never named
+  second.set_opened_targets(0, 99);  // an unknown target
   CHECK(!store.ApplyMessage(second));
   CHECK(!store.ApplyMessage(second));
   CHECK(store.size() == 1);
 }
 
-TEST_CASE("a request costs a peer few bytes") {
+TEST_CASE("replication of a request takes less than 32 bytes") {
   ReplicationSender sender(kIncarnation);
   sender.BeginGeneration(1);
   sender.AddSnapshot(IntentBatch());
