--- a/leverwick/membership.cc
+++ b/leverwick/membership.cc
@@ -1,7 +1,7 @@
-// The ring is the roster sorted by the hash of the incarnations; a member's
-// targets are its next `fanout` successors. Only the targets of a member judge
-// it, for only they should hear from it. A box that is not yet in the roster,
-// or no longer, has the targets that it would have as a member.
+// The ring is the roster sorted by the hash of the incarnations. The heartbeat
+// targets of a member are its next `fanout` successors, and only they may
+// propose its removal, since only they expect heartbeats from it. A box outside
+// the roster has the targets that it would have as a member.
 
 #include "leverwick/membership.h"
 
@@ -38,8 +38,9 @@
   bool paused = now - last_tick_ > options_.failure_timeout / 2;
   last_tick_ = now;
   if (paused) {
-    // Members may have been last_heartbeat of meanwhile; who else is there is
-    // not known.
+    // Heartbeats of members may have been missed during the pause, so their
+    // timers restart. Non-members are dropped: whether they still run is
+    // unknown.
     for (auto entry = peers_.begin(); entry != peers_.end();) {
       bool member = Contains(roster_, entry->first);
       if (member) entry->second.last_heartbeat = now;
@@ -49,8 +50,8 @@
   if (roster.epoch() == roster_.epoch()) return;
   RecordRemovals(roster, now);
   roster_ = roster;
-  // One that is applied_offsets for the first time, or sends to this box since
-  // this roster, has the full time to be last_heartbeat.
+  // A member that is new, or sends heartbeats to this box only since this
+  // roster, gets the full timeout for its first heartbeat.
   std::set<std::string> previously_monitored;
   previously_monitored.swap(monitored_);
   for (const Member& member : roster_.members()) {
@@ -73,7 +74,7 @@
   }
 }
 
-// A box that was removed waits, lest the roster change back and forth.
+// Delays the return of a removed box, so that the roster does not flap.
 bool Membership::IsReadmissionDelayed(const std::string& incarnation,
                                       TimePoint now) const {
   auto found = removed_at_.find(incarnation);
@@ -111,8 +112,8 @@
   std::lock_guard<std::mutex> lock(mutex_);
   if (now - last_list_read_ > options_.failure_timeout) return false;
   auto found = last_listed_.find(incarnation);
-  // A incarnation this box never saw listed is gone if it is not last_heartbeat
-  // of either.
+  // An incarnation that was never listed is gone if no heartbeat came from it
+  // either.
   TimePoint last = found == last_listed_.end() ? TimePoint{} : found->second;
   auto peer = peers_.find(incarnation);
   if (peer != peers_.end()) last = std::max(last, peer->second.last_heartbeat);
@@ -152,21 +153,23 @@
   return now - found->second.last_heartbeat > options_.failure_timeout;
 }
 
-// So many boxes that start at once need one record, not one each. A incarnation
-// at an address that is taken is left to itself: it may be the older of the
-// two.
+// Adds all boxes that send heartbeats in one change, so that many boxes that
+// start together need one record instead of one each. An incarnation at an
+// address that is already in the roster is not added: it may be the older of
+// the two.
 bool Membership::AddNewMembers(RosterChange* change, TimePoint now) const {
   bool added = false;
   for (const auto& entry : peers_) {
     const Peer& peer = entry.second;
-    bool known = Contains(roster_, entry.first) ||
-                 entry.first == options_.self.life() ||
-                 ContainsAddress(*change, peer.member.address());
+    bool already_present = Contains(roster_, entry.first) ||
+                           entry.first == options_.self.life() ||
+                           ContainsAddress(*change, peer.member.address());
     bool is_eligible =
         !peer.leaving &&
         now - peer.last_heartbeat <= options_.failure_timeout / 2 &&
         !IsReadmissionDelayed(entry.first, now);
-    if (known || !is_eligible || peer.member.address().empty()) continue;
+    if (already_present || !is_eligible || peer.member.address().empty())
+      continue;
     *change->add_members() = peer.member;
     added = true;
   }
@@ -184,7 +187,8 @@
   bool changed = false;
   for (const Member& member : roster_.members()) {
     bool is_self = member.life() == self;
-    // A new incarnation at our address proves that the old one is over.
+    // A new incarnation at the address of this box proves that the old one has
+    // ended.
     bool is_replaced = !is_self && member.address() == options_.self.address();
     bool is_monitored =
         is_member ? SendsHeartbeatsToSelf(member) : roster_.members_size() == 1;
--- a/leverwick/membership.h
+++ b/leverwick/membership.h
@@ -1,13 +1,14 @@
-// Who is in the data centre's roster, and when to propose a change of it.
+// Membership of the data centre's roster and detection of failed members.
 //
-// Boxes send heartbeats to the next few members on a ring, so the cost of one
-// box doesn't grow with the data centre. The roster itself changes only by a
-// record in the platform's log: Membership merely says what this box would
-// append. A joining box proposes itself, a stopping one proposes to go, and a
-// is_silent one is proposed for removal by those it should send heartbeats to.
+// Boxes send heartbeats to their next few successors on a ring, so the cost per
+// box does not grow with the data centre. The roster changes only by a record
+// in the platform's log; Membership merely computes the change that this box
+// would append. A joining box proposes to add itself, a stopping box proposes
+// to remove itself, and a silent member is proposed for removal by the members
+// that it should send heartbeats to.
 //
-// A box that was paused itself must not take its own silence for that of the
-// others: Tick starts all timers anew when it is late.
+// A box that was paused must not mistake its own pause for silence of the
+// others: Tick restarts all heartbeat timers when it is called late.
 
 #ifndef LEVERWICK_MEMBERSHIP_H_
 #define LEVERWICK_MEMBERSHIP_H_
@@ -33,42 +34,49 @@
   size_t fanout = 4;
 };
 
+// Failure detector of one box and its proposals for roster changes.
 // Thread-safe.
 class Membership {
  public:
   explicit Membership(MembershipOptions options)
       : options_(std::move(options)) {}
 
-  // Must be called often; `roster` is the one in force.
+  // Applies the current roster. Must be called several times per
+  // failure_timeout; a gap of more than half of it counts as a pause of this
+  // box.
   void Tick(const Roster& roster, TimePoint now);
 
-  // A heartbeat, or an answer to one, came from a peer.
+  // Records a heartbeat, or the reply to one, from a peer.
   void RecordHeartbeat(const Member& from, uint64_t next_offset, bool leaving,
                        TimePoint now);
 
-  // A heartbeat passed on what a member has applied.
+  // Records the log offset that a member has applied, as forwarded in a
+  // heartbeat of another member.
   void RecordAppliedOffset(uint32_t incarnation_hash, uint64_t next_offset);
 
-  // The addresses of live boxes of this data centre in the platform's list.
-  // Kept to tell a box that is gone from one that is is_silent.
+  // Records the incarnations of this data centre that the platform lists as
+  // live. Used to tell a box that is gone from one that is silent.
   void RecordListedBoxes(const std::vector<std::string>& incarnations,
                          TimePoint now);
 
-  // Whether the list, read since, has not held the incarnation for
-  // failure_timeout.
+  // Returns true if the list is current and neither the list nor a heartbeat
+  // has shown the incarnation for failure_timeout.
   bool IsGone(const std::string& incarnation, TimePoint now) const;
 
-  // The members that get this box's heartbeats and copies, also while it is
-  // not a member itself.
+  // Returns the members that receive the heartbeats and replication streams of
+  // this box, also while it is not a member itself.
   std::vector<Member> HeartbeatTargets() const;
 
-  // The change this box would append now; none when the roster is right.
+  // Returns the change that this box would append now, or nullopt if the roster
+  // needs none.
   std::optional<RosterChange> ProposeChange(bool stopping, TimePoint now);
 
-  // Whether every member is known to have applied the roster's record.
+  // Returns true if every other member is known to have applied the record of
+  // the current roster.
   bool HaveAllMembersApplied() const;
 
-  // What to pass on of the members' offsets.
+  // Returns the known log offsets of the members, to be forwarded in
+  // heartbeats.
   std::vector<MemberSeen> applied_offsets() const;
 
  private:
@@ -90,16 +98,15 @@
   mutable std::mutex mutex_;
   Roster roster_;
   std::map<std::string, Peer> peers_;  // by incarnation
-  std::set<std::string> monitored_;    // members that send to this box
+  std::set<std::string> monitored_;    // members that send heartbeats to self
   std::map<uint32_t, uint64_t> applied_offsets_;  // by hash of incarnation
   std::map<std::string, TimePoint> last_listed_;  // last time in the list
   TimePoint last_list_read_{};
   TimePoint last_tick_{};
-  std::map<std::string, TimePoint>
-      removed_at_;  // incarnations that left the roster
+  std::map<std::string, TimePoint> removed_at_;  // by incarnation
 };
 
-// The hash under which MemberSeen names a incarnation.
+// Returns the hash that identifies an incarnation in MemberSeen.
 uint32_t IncarnationHash(const std::string& incarnation);
 
 }  // namespace leverwick
--- a/leverwick/slots.cc
+++ b/leverwick/slots.cc
@@ -1,5 +1,6 @@
-// Rendezvous hashing: each (slot, incarnation) pair has a hash and the highest
-// win. A box that comes or goes moves only the slots it wins or held.
+// Rendezvous hashing: each (slot, incarnation) pair has a hash, and the members
+// with the highest hashes are the replicas. A box that joins or leaves moves
+// only the slots that it gains or loses.
 
 #include "leverwick/slots.h"
 
--- a/leverwick/slots.h
+++ b/leverwick/slots.h
@@ -1,10 +1,10 @@
-// Which boxes hold the claims of a slot.
+// Placement of claim slots on boxes.
 //
-// A data centre's keys fall into a fixed number of slots. The replicas of a
-// slot are the first boxes of the roster in rendezvous order; the first of them
-// is the owner. Rosters change only through the platform's log, so placement
-// has no clock in it. A slot's epoch is that of the oldest roster since which
-// its replicas have stayed the same.
+// A slot is one of a fixed number of partitions of a data centre's idempotency
+// keys. The replicas of a slot are the first boxes of the roster in rendezvous
+// order, and the first replica is the owner. Rosters change only through the
+// platform's log, so placement does not depend on clocks. The epoch of a slot
+// is that of the oldest roster since which its replicas have been the same.
 
 #ifndef LEVERWICK_SLOTS_H_
 #define LEVERWICK_SLOTS_H_
@@ -17,7 +17,7 @@
 
 namespace leverwick {
 
-// The owner and two holders; fewer when the roster is smaller.
+// The owner and two more replicas; fewer if the roster is smaller.
 constexpr size_t kSlotReplicas = 3;
 
 struct Placement {
@@ -25,13 +25,14 @@
   std::vector<Member> replicas;  // the owner first
 };
 
-// The slot of a claim's key.
+// Returns the slot of a claim's key.
 uint32_t SlotForKey(const std::string& key, uint32_t slots);
 
-// The members of a roster by preference for a slot.
+// Returns the members of a roster in order of preference for a slot.
 std::vector<Member> RankMembers(const Roster& roster, uint32_t slot);
 
-// Placements of a slot, newest first; consecutive equal ones are merged.
+// Returns the placements of a slot, newest first. Consecutive placements with
+// the same replicas are merged.
 std::vector<Placement> ComputePlacements(const std::vector<Roster>& rosters,
                                          uint32_t slot);
 
--- a/leverwick/testing/membership_test.cc
+++ b/leverwick/testing/membership_test.cc
@@ -50,7 +50,7 @@
   return incarnations;
 }
 
-TEST_CASE("a box proposes itself, and takes a is_silent one out") {
+TEST_CASE("a box proposes to add itself and to remove a silent member") {
   Membership membership(MakeOptions("a"));
   membership.Tick(Roster(), At(0));
   CHECK(IncarnationsOf(membership.ProposeChange(false, At(0))) ==
@@ -67,21 +67,22 @@
         std::vector<std::string>{"a"});
 }
 
-TEST_CASE("a box that was paused does not take the others for dead") {
+TEST_CASE("a box that was paused does not propose to remove the others") {
   Membership membership(MakeOptions("a"));
   membership.Tick(MakeRoster(1, {"a", "b"}), At(0));
   membership.Tick(MakeRoster(1, {"a", "b"}), At(60));
   CHECK(!membership.ProposeChange(false, At(60)).has_value());
 }
 
-TEST_CASE("a stopping box proposes to go") {
+TEST_CASE("a stopping box proposes its own removal") {
   Membership membership(MakeOptions("a"));
   membership.Tick(MakeRoster(1, {"a", "b"}), At(0));
   CHECK(IncarnationsOf(membership.ProposeChange(true, At(0))) ==
         std::vector<std::string>{"b"});
 }
 
-TEST_CASE("a box that was taken out waits before it comes back") {
+TEST_CASE(
+    "a removed box waits for failure_timeout before it proposes itself again") {
   Membership membership(MakeOptions("a"));
   membership.Tick(MakeRoster(1, {"a", "b"}), At(0));
   membership.Tick(MakeRoster(2, {"b"}), At(0.1));
@@ -92,17 +93,17 @@
   CHECK(IncarnationsOf(membership.ProposeChange(false, At(3.2))).size() == 2);
 }
 
-TEST_CASE("a incarnation is gone only when the list, read since, lacks it") {
+TEST_CASE("an incarnation is gone only if a current list lacks it") {
   Membership membership(MakeOptions("a"));
   membership.RecordListedBoxes({"a", "b"}, At(0));
   CHECK(!membership.IsGone("b", At(1)));
-  CHECK(!membership.IsGone("b", At(10)));  // the list is not read any more
+  CHECK(!membership.IsGone("b", At(10)));  // the list is stale
   membership.RecordListedBoxes({"a"}, At(10));
   CHECK(membership.IsGone("b", At(10)));
   CHECK(!membership.IsGone("a", At(10)));
 }
 
-TEST_CASE("the roster is settled once every member has applied it") {
+TEST_CASE("the roster is applied once every member has reported its offset") {
   Membership membership(MakeOptions("a"));
   membership.Tick(MakeRoster(7, {"a", "b", "c"}), At(0));
   membership.RecordHeartbeat(MakeRoster(7, {"b"}).members(0), 9, false, At(0));
@@ -113,7 +114,7 @@
   CHECK(membership.HaveAllMembersApplied());
 }
 
-TEST_CASE("heartbeats go to a few members, and everyone is watched") {
+TEST_CASE("heartbeats go to a few members, and every member is monitored") {
   std::vector<std::string> incarnations;
   for (int i = 0; i < 26; ++i)
     incarnations.push_back("box" + std::to_string(i));
@@ -129,7 +130,7 @@
     CHECK(watchers[incarnation] == 4);
 }
 
-TEST_CASE("few slots move when a box joins") {
+TEST_CASE("a box that joins moves few slots") {
   Roster before = MakeRoster(1, {"a", "b", "c", "d", "e", "f"});
   Roster after = MakeRoster(2, {"a", "b", "c", "d", "e", "f", "g"});
   int moved = 0;
@@ -144,7 +145,7 @@
   CHECK(moved < 140);
 }
 
-TEST_CASE("equal placements in a row are one") {
+TEST_CASE("consecutive equal placements are merged") {
   std::vector<Roster> rosters = {
       MakeRoster(1, {"a"}), MakeRoster(5, {"a", "b"}),
       MakeRoster(9, {"a", "b"}), MakeRoster(12, {"b"})};
@@ -155,7 +156,7 @@
   CHECK(placements[2].epoch == 1);
 }
 
-TEST_CASE("freshness tells paused from cut off from behind") {
+TEST_CASE("freshness distinguishes paused, cut off and behind") {
   Freshness freshness({std::chrono::seconds(4), std::chrono::seconds(6)});
   CHECK(freshness.At(At(0)) == Freshness::kPaused);
   freshness.Read(true, 10, At(0));
@@ -187,7 +188,7 @@
   return incarnations;
 }
 
-TEST_CASE("a box outside the roster has the targets it would have in it") {
+TEST_CASE("a box outside the roster has the heartbeat targets of a member") {
   Roster with = MakeRoster(2, {"a", "b", "c", "d", "e", "f"});
   Roster without = MakeRoster(1, {"a", "b", "d", "e", "f"});
   CHECK(!TargetsOf("c", without).empty());
@@ -199,7 +200,8 @@
   return MakeRoster(1, {incarnation}).members(0);
 }
 
-TEST_CASE("a member adds the newcomers it hears from, but none that leaves") {
+TEST_CASE(
+    "a member adds new boxes that send heartbeats, but none that is leaving") {
   Membership membership(MakeOptions("a"));
   Roster roster = MakeRoster(1, {"a"});
   membership.Tick(roster, At(0));
@@ -208,7 +210,8 @@
   membership.RecordHeartbeat(MakeMember("d"), 1, true, At(0.1));
   CHECK(IncarnationsOf(membership.ProposeChange(false, At(0.2))) ==
         std::vector<std::string>{"a", "b", "c"});
-  // Not a stopping box, and not those that fell is_silent meanwhile.
+  // A stopping box adds nobody, and members that fell silent meanwhile are not
+  // added.
   CHECK(IncarnationsOf(membership.ProposeChange(true, At(0.2))).empty());
   membership.Tick(roster, At(1));
   membership.RecordHeartbeat(MakeMember("c"), 1, false, At(1.9));
@@ -217,7 +220,7 @@
         std::vector<std::string>{"a", "c"});
 }
 
-TEST_CASE("a incarnation that was at a member's address before is not added") {
+TEST_CASE("an older incarnation at the address of a member is not added") {
   Membership membership(MakeOptions("a"));
   Member old = MakeMember("b");
   old.set_life("b-old");
@@ -226,7 +229,7 @@
   CHECK(!membership.ProposeChange(false, At(0.2)).has_value());
 }
 
-TEST_CASE("a box that was taken out is not added again at once") {
+TEST_CASE("a removed box is not added again before failure_timeout") {
   Membership membership(MakeOptions("a"));
   membership.Tick(MakeRoster(1, {"a", "b"}), At(0));
   membership.Tick(MakeRoster(2, {"a"}), At(0.1));
@@ -239,7 +242,8 @@
   CHECK(IncarnationsOf(membership.ProposeChange(false, At(4.2))).size() == 2);
 }
 
-TEST_CASE("a box that was paused adds nobody it last_heartbeat of before") {
+TEST_CASE(
+    "a box that was paused adds no box that it heard from before the pause") {
   Membership membership(MakeOptions("a"));
   membership.Tick(MakeRoster(1, {"a"}), At(0));
   membership.RecordHeartbeat(MakeMember("b"), 1, false, At(0.1));
@@ -247,10 +251,11 @@
   CHECK(!membership.ProposeChange(false, At(60)).has_value());
 }
 
-TEST_CASE("a member that sends to this box only now is not is_silent yet") {
+TEST_CASE("a member that has just become monitored is not silent yet") {
   std::vector<std::string> all;
   for (int i = 0; i < 9; ++i) all.push_back("box" + std::to_string(i));
-  // Among the six first, somebody sends to box0 who no longer does among all.
+  // Finds a member that sends heartbeats to box0 in the small roster but not in
+  // the large one.
   std::vector<std::string> few(all.begin(), all.begin() + 6);
   auto sends = [](const std::string& incarnation, const Roster& roster) {
     std::vector<std::string> targets = TargetsOf(incarnation, roster);
@@ -282,7 +287,7 @@
   CHECK(!membership.ProposeChange(false, At(10.1)).has_value());
 }
 
-TEST_CASE("boxes that start together need few records") {
+TEST_CASE("boxes that start together need few roster records") {
   constexpr int kBoxes = 64;
   std::vector<std::unique_ptr<Membership>> boxes;
   for (int i = 0; i < kBoxes; ++i) {
@@ -292,7 +297,8 @@
   Roster roster;
   roster.set_data_centre("dc1");
   int records = 0;
-  // Every box beats once a second at a time of its own; the log is at once.
+  // Each box sends heartbeats once per second, at a phase of its own. Appends
+  // take effect at once.
   for (int beat = 0; beat < 10 && roster.members_size() < kBoxes; ++beat) {
     for (int i = 0; i < kBoxes; ++i) {
       TimePoint now = At(beat + static_cast<double>(i) / kBoxes);
@@ -304,7 +310,8 @@
         boxes[to]->RecordHeartbeat(MakeMember("box" + std::to_string(i)), 1,
                                    false, now);
       }
-      // A box proposes at its next beat, after it was last_heartbeat.
+      // A box proposes from its second heartbeat on, when others have received
+      // its first one.
       if (beat == 0 && i > 0) continue;
       std::optional<RosterChange> change =
           boxes[index]->ProposeChange(false, now);
