--- a/leverwick/bills.cc
+++ b/leverwick/bills.cc
@@ -132,9 +132,10 @@
   auto found = incarnations_.find(incarnation);
   if (found == incarnations_.end()) return;
   for (uint64_t sequence : sequences) Erase(sequence, &found->second);
-  const Incarnation& records = found->second;
-  bool empty = records.current.open.empty() && records.current.billed.empty() &&
-               records.previous.open.empty() && records.previous.billed.empty();
+  const Incarnation& remaining = found->second;
+  bool empty =
+      remaining.current.open.empty() && remaining.current.billed.empty() &&
+      remaining.previous.open.empty() && remaining.previous.billed.empty();
   if (empty) incarnations_.erase(found);
 }
 
@@ -187,11 +188,11 @@
     auto inserted =
         lines_.emplace(RequestId(record.life(), line.sequence()), line);
     if (inserted.second) continue;
-    BillLine& standing = inserted.first->second;
-    if (standing.outcome() != BillLine::VOID) {
+    BillLine& existing = inserted.first->second;
+    if (existing.outcome() != BillLine::VOID) {
       ++duplicates_;
     } else {
-      standing = line;
+      existing = line;
     }
   }
 }
--- a/leverwick/bills.h
+++ b/leverwick/bills.h
@@ -124,9 +124,9 @@
 };
 
 // Builds the bill line that settles a lost request from what its endpoints
-// reported about each dispatch. Returns false while the outcome is still
-// undecided. With `give_up`, endpoints that are unreachable or have not
-// finished the request are no longer waited for, and the outcome is UNKNOWN.
+// reported about each dispatch. Returns false while the outcome is undecided.
+// With `give_up`, unreachable endpoints and unfinished dispatches are no longer
+// waited for; each of them makes the outcome UNKNOWN.
 bool BuildSettlementLine(uint64_t sequence,
                          const std::vector<Intent>& dispatches,
                          const std::vector<DispatchState>& states, bool give_up,
