--- a/net/operator_client.cc
+++ b/net/operator_client.cc
@@ -6,7 +6,7 @@
 
 #include <thread>
 
-#include "leverwick/compact.h"
+#include "leverwick/bill_encoding.h"
 #include "leverwick/digest.h"
 #include "net/json.h"
 
@@ -68,7 +68,7 @@
     if (error || reply.records().empty()) return error;
     for (const TailRecord& tail : reply.records()) {
       BillRecord record;
-      if (DecodeRecord(tail.data(), &record)) ledger->Read(record);
+      if (DecodeRecord(tail.data(), &record)) ledger->Apply(record);
       from = tail.offset() + 1;
     }
   }
