--- a/app/leverwickctl.cc
+++ b/app/leverwickctl.cc
@@ -62,7 +62,7 @@
             << stored.revision() << "\n";
   for (int i = 0; i < message->GetDescriptor()->field_count(); ++i) {
     const FieldDescriptor& field = *message->GetDescriptor()->field(i);
-    std::cout << "  " << field.name() << ": " << FieldText(*message, field)
+    std::cout << "  " << field.name() << ": " << FormatField(*message, field)
               << "\n";
   }
 }
@@ -79,7 +79,7 @@
     PrintRow(*row);
   }
   for (const Rollout* rollout : table.rollouts()) {
-    RolloutProgress progress = table.ProgressOf(rollout->name());
+    RolloutProgress progress = table.ProgressFor(rollout->name());
     std::cout << "roll-out " << rollout->name() << " step "
               << progress.step() + 1 << " of " << rollout->steps_size();
     if (progress.tripped()) std::cout << ", stopped: " << progress.reason();
@@ -125,7 +125,7 @@
   std::string why;
   for (int i = 0; i < message->GetDescriptor()->field_count(); ++i) {
     const FieldDescriptor& field = *message->GetDescriptor()->field(i);
-    if (!RuleOf(field).key()) continue;
+    if (!RuleFor(field).key()) continue;
     size_t at = rest.find('@');
     if (!SetField(message, field.name(), rest.substr(0, at), &why)) {
       return false;
@@ -206,7 +206,7 @@
     CsvRow line = {std::to_string(stored->revision())};
     for (int i = 0; i < descriptor->field_count(); ++i) {
       line.push_back(
-          FieldText(*RowMessage(stored->row()), *descriptor->field(i), true));
+          FormatField(*RowMessage(stored->row()), *descriptor->field(i), true));
     }
     std::cout << FormatCsv(line);
   }
@@ -325,7 +325,7 @@
   Table table;
   std::error_code error = client.Read(
       &table, [&options](const TailRecord& tail, const ConfigRecord& record,
-                         const Table::Verdict& verdict) {
+                         const Table::ApplyResult& verdict) {
         if (!Touches(record, options)) return;
         std::cout << tail.offset() << " " << TimeText(tail.time_ms()) << " "
                   << record.author() << " " << Describe(record) << " ";
--- a/daemon/admin.cc
+++ b/daemon/admin.cc
@@ -68,7 +68,7 @@
   status["data_centre"] = node_->settings.box().data_centre();
   status["next_offset"] = Json::UInt64(node_->tables.table()->next_offset());
   status["ready"] = !ready;
-  status["reason"] = Info(ResultOf(ready)).name;
+  status["reason"] = ResultInfoFor(ToResult(ready)).name;
   status["cut_off"] = node_->freshness.At(Clock::now()) == Freshness::kCutOff;
   status["roster_epoch"] = Json::UInt64(roster.epoch());
   status["members"] = roster.members_size();
@@ -86,7 +86,7 @@
 void Admin::Explain(const HttpRequest& request, HttpResponder* responder) {
   std::string text = explanations_->Find(request.Parameter("id"));
   if (text.empty()) {
-    const ResultInfo& info = Info(Result::kUnknownRequest);
+    const ResultInfo& info = ResultInfoFor(Result::kUnknownRequest);
     responder->Send(info.http_status, {{"Content-Type", kJson}},
                     ErrorBody(static_cast<int>(info.result), info.name,
                               info.message, "", "", milliseconds(0)));
--- a/daemon/claim_desk.cc
+++ b/daemon/claim_desk.cc
@@ -35,7 +35,7 @@
 std::vector<Placement> ClaimDesk::PlacementsHere(uint32_t slot) {
   std::shared_ptr<const Table> table = node_->tables.table();
   const std::vector<Roster>& rosters =
-      table->RostersOf(node_->settings.box().data_centre());
+      table->RostersFor(node_->settings.box().data_centre());
   if (rosters.empty()) return {};
   std::lock_guard<std::mutex> lock(mutex_);
   if (cached_epoch_ != rosters.back().epoch()) {
@@ -51,7 +51,7 @@
 
 bool ClaimDesk::OwnerOf(const ClaimRequest& request, Member* owner) const {
   std::shared_ptr<const Table> table = node_->tables.table();
-  const std::vector<Roster>& rosters = table->RostersOf(request.data_centre());
+  const std::vector<Roster>& rosters = table->RostersFor(request.data_centre());
   if (rosters.empty() || rosters.back().members().empty()) return false;
   *owner = RankMembers(rosters.back(), request.slot()).front();
   return true;
--- a/daemon/dispatcher.cc
+++ b/daemon/dispatcher.cc
@@ -34,7 +34,7 @@
 }
 
 bool IsNotRun(Result result) {
-  return Info(result).run_state == RunState::kNotRun;
+  return ResultInfoFor(result).run_state == RunState::kNotRun;
 }
 
 }  // namespace
@@ -116,19 +116,20 @@
   if (!not_run) ++exchange->dispatches;
   bool refused = outcome.result == Result::kEndpointRefused;
   if (!outcome.ok()) {
-    log_.Warning("An attempt failed.", {{"attempt", attempt.id},
-                                        {"endpoint", attempt.endpoint},
-                                        {"result", Info(outcome.result).name}});
+    log_.Warning("An attempt failed.",
+                 {{"attempt", attempt.id},
+                  {"endpoint", attempt.endpoint},
+                  {"result", ResultInfoFor(outcome.result).name}});
   }
   node_->endpoints.Ended(attempt.endpoint, outcome.ok() || refused,
                          Clock::now());
   Json::Value& entry = exchange->trace["attempts"].append(Json::Value());
   entry["id"] = attempt.id;
   entry["endpoint"] = attempt.endpoint;
-  entry["result"] = Info(outcome.result).name;
+  entry["result"] = ResultInfoFor(outcome.result).name;
   node_->metrics.Add(
       "leverwick_attempts_total",
-      std::string("result=\"") + Info(outcome.result).name + "\"", 1);
+      std::string("result=\"") + ResultInfoFor(outcome.result).name + "\"", 1);
 }
 
 bool Dispatcher::MayTryAgain(Exchange* exchange, const Outcome& outcome) {
--- a/daemon/gateway.cc
+++ b/daemon/gateway.cc
@@ -106,18 +106,19 @@
 std::error_code Gateway::Authenticate(Exchange* exchange) const {
   std::string key = BearerKey(*exchange->request);
   if (key.empty()) return Result::kBadKey;
-  exchange->organisation = exchange->table->FindByKey(Sha256Hex(key));
+  exchange->organisation =
+      exchange->table->FindOrganisationByKeyHash(Sha256Hex(key));
   if (exchange->organisation == nullptr) return Result::kBadKey;
   return {};
 }
 
 Outcome Gateway::Open(Exchange* exchange) const {
   std::error_code error = Ready();
-  if (error) return Outcome{ResultOf(error), ""};
+  if (error) return Outcome{ToResult(error), ""};
   exchange->cut_off = node_->freshness.At(Clock::now()) == Freshness::kCutOff;
   exchange->table = node_->tables.table();
   error = Authenticate(exchange);
-  if (error) return Outcome{ResultOf(error), ""};
+  if (error) return Outcome{ToResult(error), ""};
   node_->retries.Count();
   const HttpRequest& request = *exchange->request;
   exchange->repeatable = request.Header(kRepeatableHeader) != "false";
@@ -160,7 +161,8 @@
       ShortDigest(exchange->request->path + "\n" + exchange->request->body));
   claim.set_request_id(exchange->id);
   ClaimReply reply = claims_->Make(*exchange->organisation, claim);
-  exchange->trace["claim"] = Info(static_cast<Result>(reply.code())).name;
+  exchange->trace["claim"] =
+      ResultInfoFor(static_cast<Result>(reply.code())).name;
   if (reply.code() == 0) return true;
   if (reply.code() == static_cast<int>(Result::kClaimsUnavailable)) {
     // It may have been made although its answer was lost; give it back.
@@ -196,7 +198,7 @@
   Claim claim;
   claim.set_key(ClaimKey(exchange->organisation->name(), key));
   claim.set_request_id(exchange->id);
-  RunState state = Info(outcome.result).run_state;
+  RunState state = ResultInfoFor(outcome.result).run_state;
   if (outcome.ok() || state == RunState::kRan) {
     claim.set_state(Claim::DONE);
   } else {
@@ -220,14 +222,14 @@
   } else if (exchange->dispatches == 0) {
     line.set_outcome(BillLine::VOID);
   } else {
-    bool ran = Info(outcome.result).run_state == RunState::kRan;
+    bool ran = ResultInfoFor(outcome.result).run_state == RunState::kRan;
     line.set_outcome(ran ? BillLine::FAILED : BillLine::UNKNOWN);
   }
   bills_->Close(line);
 }
 
 void Gateway::Refuse(Exchange* exchange, const Outcome& outcome) {
-  const ResultInfo& info = Info(outcome.result);
+  const ResultInfo& info = ResultInfoFor(outcome.result);
   RunState state = info.run_state;
   // An earlier attempt may have run although the last one did not.
   if (state == RunState::kNotRun && exchange->dispatches > 0) {
@@ -266,7 +268,7 @@
 }
 
 void Gateway::Remember(Exchange* exchange, const Outcome& outcome) {
-  const char* name = Info(outcome.result).name;
+  const char* name = ResultInfoFor(outcome.result).name;
   node_->metrics.Add("leverwick_requests_total",
                      std::string("result=\"") + name + "\"", 1);
   if (exchange->organisation == nullptr) return;
@@ -291,7 +293,7 @@
 
 void Gateway::Readiness(Exchange* exchange) {
   std::error_code error = Ready();
-  const ResultInfo& info = Info(ResultOf(error));
+  const ResultInfo& info = ResultInfoFor(ToResult(error));
   bool cut_off = node_->freshness.At(Clock::now()) == Freshness::kCutOff;
   std::string text = error     ? std::string(info.name) + ": " + info.message
                      : cut_off ? "ready: cut off, stable versions only"
--- a/daemon/gateway_chat.cc
+++ b/daemon/gateway_chat.cc
@@ -65,7 +65,7 @@
   route.new_session = exchange->request->Header(kSessionHeader) == kNewSession;
   std::vector<const Version*> candidates;
   std::error_code error = FindCandidates(*exchange->table, route, &candidates);
-  if (error) return Outcome{ResultOf(error), ""};
+  if (error) return Outcome{ToResult(error), ""};
   std::vector<const Version*> live;
   for (const Version* version : candidates) {
     exchange->trace["candidates"].append(KeyOf(*version));
@@ -120,7 +120,7 @@
   std::error_code error = places_.Wait(target, mine, *exchange->organisation,
                                        static_cast<double>(tokens), until,
                                        place, &exchange->retry_after);
-  return Outcome{ResultOf(error), ""};
+  return Outcome{ToResult(error), ""};
 }
 
 LegRequest Gateway::LegOf(const Exchange& exchange, const ChatRequest& chat,
--- a/daemon/node.cc
+++ b/daemon/node.cc
@@ -59,7 +59,7 @@
 Roster Node::CurrentRoster() const {
   std::shared_ptr<const Table> table = tables.table();
   const std::vector<Roster>& rosters =
-      table->RostersOf(settings.box().data_centre());
+      table->RostersFor(settings.box().data_centre());
   return rosters.empty() ? Roster() : rosters.back();
 }
 
--- a/daemon/relay.cc
+++ b/daemon/relay.cc
@@ -126,15 +126,15 @@
               config_ == nullptr ? "none" : std::to_string(config_->version())},
              {"routes", std::to_string(config.routes().size())}});
   config_ = std::make_shared<const ServiceConfig>(std::move(config));
-  slow_start_.SetLimits(config_->ColdLimits());
+  slow_start_.SetLimits(config_->SlowStartLimits());
   return true;
 }
 
 Result Relay::Admit(const ServiceRoute& route, const CallerRequest& request,
-                    TimePoint now, KeyHolder* holder) const {
-  if (!route.needs_key || !config_->has_keys()) return Result::kOk;
-  const KeyHolder* found =
-      request.key.empty() ? nullptr : config_->FindKey(request.key);
+                    TimePoint now, ApiKeyOwner* holder) const {
+  if (!route.requires_key || !config_->has_keys()) return Result::kOk;
+  const ApiKeyOwner* found =
+      request.key.empty() ? nullptr : config_->FindKeyOwner(request.key);
   if (found != nullptr) *holder = *found;
   return AdmitKey(key_trust_, found != nullptr, proof_.HoldsAt(now));
 }
@@ -157,7 +157,7 @@
     Result result = known ? Result::kUnknownPath : Result::kStaleTable;
     return Refuse(exchange, request.id, result, kComeBackElsewhere);
   }
-  KeyHolder holder;
+  ApiKeyOwner holder;
   Result admitted = Admit(*route, request, now, &holder);
   if (admitted != Result::kOk) {
     return Refuse(exchange, request.id, admitted, kComeBackElsewhere);
@@ -171,7 +171,7 @@
 void Relay::Refuse(const std::shared_ptr<ServerExchange>& exchange,
                    const std::string& request_id, Result result,
                    std::optional<milliseconds> come_back_after) {
-  const ResultInfo& info = Info(result);
+  const ResultInfo& info = ResultInfoFor(result);
   bool may_come_back = info.http_status == 503 || info.http_status == 429;
   if (!may_come_back) come_back_after.reset();
   metrics_.Add("leverwick_refused_total",
--- a/daemon/relay.h
+++ b/daemon/relay.h
@@ -124,7 +124,7 @@
               std::optional<milliseconds> come_back_after);
   // Whether the request may be taken by its key; fills in its holder.
   Result Admit(const ServiceRoute& route, const CallerRequest& request,
-               TimePoint now, KeyHolder* holder) const;
+               TimePoint now, ApiKeyOwner* holder) const;
   // Takes in all that the head of an answer says of its endpoint.
   void Heard(const EndpointTry& answered);
   // What its earlier life said, did and knew says nothing of the new one.
--- a/daemon/relay_server.cc
+++ b/daemon/relay_server.cc
@@ -56,10 +56,10 @@
 
 void RelayServer::SetLimits(const CallerLimits& limits) {
   HttpServerLimits server;
-  server.head_bytes = limits.head_bytes;
-  server.body_bytes = limits.body_bytes;
-  server.head_time = limits.head_time;
-  server.idle_time = limits.idle_time;
+  server.head_bytes = limits.max_header_bytes;
+  server.body_bytes = limits.max_body_bytes;
+  server.head_time = limits.header_timeout;
+  server.idle_time = limits.idle_timeout;
   callers_.SetLimits(server);
 }
 
--- a/daemon/relayed_request.cc
+++ b/daemon/relayed_request.cc
@@ -57,7 +57,7 @@
 RelayedRequest::RelayedRequest(Relay* relay,
                                std::shared_ptr<ServerExchange> exchange,
                                CallerRequest request, const ServiceRoute& route,
-                               KeyHolder holder)
+                               ApiKeyOwner holder)
     : relay_(relay),
       exchange_(std::move(exchange)),
       request_(std::move(request)),
@@ -273,7 +273,8 @@
   size_t better = ModelCascade::Better(route_, model_);
   return better != model_ && relay_->cascade_.IsWeak(confidence) &&
          log_.attempts_left() &&
-         TimeLeft(Clock::now()) > route_.objective / 4 && CanFinish(better) &&
+         TimeLeft(Clock::now()) > route_.latency_objective / 4 &&
+         CanFinish(better) &&
          relay_->TakeRetry(service_, RetryBudget::Purpose::kImprove);
 }
 
@@ -499,15 +500,15 @@
 
 void RelayedRequest::AnswerNotRun(Result result,
                                   std::optional<milliseconds> come_back_after) {
-  answer_status_ = Info(result).http_status;
+  answer_status_ = ResultInfoFor(result).http_status;
   relay_->Refuse(exchange_, request_.id, result, come_back_after);
   Finish("not_run");
 }
 
 void RelayedRequest::AnswerOwn(Result result) {
-  answer_status_ = Info(result).http_status;
+  answer_status_ = ResultInfoFor(result).http_status;
   relay_->Refuse(exchange_, request_.id, result, {});
-  Finish(Info(result).name);
+  Finish(ResultInfoFor(result).name);
 }
 
 void RelayedRequest::AnswerFailure(Result own_result) {
--- a/daemon/relayed_request.h
+++ b/daemon/relayed_request.h
@@ -50,7 +50,7 @@
  public:
   RelayedRequest(Relay* relay, std::shared_ptr<ServerExchange> exchange,
                  CallerRequest request, const ServiceRoute& route,
-                 KeyHolder holder);
+                 ApiKeyOwner holder);
 
   void Start();
 
@@ -140,7 +140,7 @@
   const CallerRequest request_;
   const std::shared_ptr<const ServiceConfig> config_;  // holds route_
   const ServiceRoute& route_;
-  const KeyHolder holder_;
+  const ApiKeyOwner holder_;
   const RequestTerms terms_;
   const std::string service_;
   const RequestDigest digest_;
--- a/daemon/request_terms.h
+++ b/daemon/request_terms.h
@@ -24,7 +24,7 @@
  public:
   // All of them must outlive the terms.
   RequestTerms(const CallerRequest* request, const ServiceRoute* route,
-               const KeyHolder* holder)
+               const ApiKeyOwner* holder)
       : request_(request), route_(route), holder_(holder) {}
 
   // What decides the side of a roll-out: a request without a session stands
@@ -32,7 +32,9 @@
   const std::string& session_or_id() const;
   // Requests with the same value are best sent to the same endpoint.
   uint64_t affinity() const;
-  Homes homes() const { return {&route_->homes, &holder_->homes}; }
+  Homes homes() const {
+    return {&route_->allowed_regions, &holder_->allowed_regions};
+  }
 
   // The model that was chosen for the caller; empty: as the caller named it.
   const std::string& ChosenModel(size_t model) const;
@@ -45,7 +47,7 @@
  private:
   const CallerRequest* const request_;
   const ServiceRoute* const route_;
-  const KeyHolder* const holder_;
+  const ApiKeyOwner* const holder_;
 };
 
 }  // namespace leverwick
--- a/daemon/roster_keeper.cc
+++ b/daemon/roster_keeper.cc
@@ -118,7 +118,7 @@
   std::shared_ptr<const Table> table = node_->tables.table();
   std::vector<Member> others;
   for (const DataCentre* centre : table->data_centres()) {
-    const std::vector<Roster>& rosters = table->RostersOf(centre->name());
+    const std::vector<Roster>& rosters = table->RostersFor(centre->name());
     if (centre->name() == node_->settings.box().data_centre()) continue;
     if (rosters.empty() || rosters.back().members().empty()) continue;
     const Roster& roster = rosters.back();
@@ -220,7 +220,7 @@
     total += centre->limit_weight();
     if (centre->name() == here) mine = centre->limit_weight();
   }
-  const std::vector<Roster>& rosters = table->RostersOf(here);
+  const std::vector<Roster>& rosters = table->RostersFor(here);
   if (rosters.empty() || total <= 0) return;
   const Roster& roster = rosters.back();
   if (!HoldsLife(roster, node_->life)) return;
@@ -266,7 +266,7 @@
   if (now < next_trip_) return;
   std::shared_ptr<const Table> table = node_->tables.table();
   for (const Rollout* rollout : table->rollouts()) {
-    RolloutProgress progress = table->ProgressOf(rollout->name());
+    RolloutProgress progress = table->ProgressFor(rollout->name());
     std::string why;
     if (progress.tripped()) {
       node_->guard.Trip(rollout->name(), progress.reason());
@@ -286,7 +286,7 @@
   std::shared_ptr<const Table> table = node_->tables.table();
   TimePoint now = Clock::now();
   for (const Rollout* rollout : table->rollouts()) {
-    RolloutProgress progress = table->ProgressOf(rollout->name());
+    RolloutProgress progress = table->ProgressFor(rollout->name());
     uint64_t answers = node_->guard.Answers(rollout->name());
     StepState& state = steps_[rollout->name()];
     if (state.step != progress.step()) {
--- a/daemon/table_reader.cc
+++ b/daemon/table_reader.cc
@@ -130,7 +130,7 @@
   std::error_code error = ReadTable(
       &node_->platform, &table,
       [&tail](const TailRecord& record, const ConfigRecord&,
-              const Table::Verdict&) { *tail.add_records() = record; });
+              const Table::ApplyResult&) { *tail.add_records() = record; });
   if (error) {
     log_.Error("The log holds no usable snapshot.",
                {{"code", std::to_string(error.value())}});
@@ -152,13 +152,13 @@
     for (const TailRecord& tail : reply.records()) {
       if (tail.offset() != table_.next_offset()) continue;
       ConfigRecord record = ParseConfigRecord(tail.data());
-      Table::Verdict verdict = table_.Apply(tail.offset(), record);
-      if (verdict.snapshot) {
+      Table::ApplyResult verdict = table_.Apply(tail.offset(), record);
+      if (verdict.is_snapshot) {
         last_snapshot_ = record.snapshot().through_offset();
       }
       recent_.push_back(tail);
       if (recent_.size() > kRecent) recent_.pop_front();
-      if (verdict.snapshot) continue;
+      if (verdict.is_snapshot) continue;
       log_.Info(verdict.error ? "Change rejected." : "Change in force.",
                 {{"offset", std::to_string(tail.offset())},
                  {"author", record.author()},
--- a/leverwick/fields.cc
+++ b/leverwick/fields.cc
@@ -181,7 +181,7 @@
   for (std::string_view part : Split(text, ';')) {
     values.emplace_back();
     if (part.empty() || !Parse(field, part, &values.back())) {
-      *why = "expected " + Expected(field);
+      *why = "expected " + DescribeExpected(field);
       return false;
     }
   }
@@ -246,7 +246,7 @@
   if (field.cpp_type() != FieldDescriptor::CPPTYPE_DOUBLE) return true;
   const Reflection* reflection = message.GetReflection();
   for (int i = 0; i < reflection->FieldSize(message, &field); ++i) {
-    if (!InRange(RuleOf(field),
+    if (!InRange(RuleFor(field),
                  reflection->GetRepeatedDouble(message, &field, i))) {
       return false;
     }
@@ -255,7 +255,7 @@
 }
 
 bool ScalarInRange(const Message& message, const FieldDescriptor& field) {
-  const Rule& rule = RuleOf(field);
+  const Rule& rule = RuleFor(field);
   std::string text = ScalarText(message, field);
   if (IsDuration(field)) {
     nanoseconds duration{0};
@@ -268,11 +268,11 @@
 
 // "" when the field keeps its rule.
 std::string Broken(const Message& message, const FieldDescriptor& field) {
-  std::string text = FieldText(message, field, true);
-  if (RuleOf(field).required() && text.empty()) return "is missing";
+  std::string text = FormatField(message, field, true);
+  if (RuleFor(field).required() && text.empty()) return "is missing";
   bool good = field.is_repeated() ? ListInRange(message, field)
                                   : ScalarInRange(message, field);
-  return good ? "" : "is '" + text + "', expected " + Expected(field);
+  return good ? "" : "is '" + text + "', expected " + DescribeExpected(field);
 }
 
 bool IsNested(const FieldDescriptor& field) {
@@ -309,7 +309,7 @@
   return std::to_string(duration.count()) + "ns";
 }
 
-const Rule& RuleOf(const FieldDescriptor& field) {
+const Rule& RuleFor(const FieldDescriptor& field) {
   return field.options().GetExtension(rule);
 }
 
@@ -328,7 +328,7 @@
       continue;
     }
     std::string why;
-    const std::string& text = RuleOf(field).default_value();
+    const std::string& text = RuleFor(field).default_value();
     if (!text.empty()) SetField(message, field.name(), text, &why);
   }
 }
@@ -340,36 +340,36 @@
   if (field->is_repeated()) return SetList(message, *field, text, why);
   Value value;
   if (!Parse(*field, text, &value)) {
-    *why = "expected " + Expected(*field);
+    *why = "expected " + DescribeExpected(*field);
     return false;
   }
   Store(message, *field, value);
   return true;
 }
 
-bool AddToField(Message* message, const std::string& name,
-                std::string_view text, std::string* why) {
+bool AppendToField(Message* message, const std::string& name,
+                   std::string_view text, std::string* why) {
   const FieldDescriptor* field = Find(*message, name, why);
   if (field == nullptr) return false;
   Value value;
   if (!field->is_repeated() || !Parse(*field, text, &value)) {
-    *why = "expected " + Expected(*field);
+    *why = "expected " + DescribeExpected(*field);
     return false;
   }
   Append(message, *field, value);
   return true;
 }
 
-std::string FieldText(const Message& message, const FieldDescriptor& field,
-                      bool reveal) {
+std::string FormatField(const Message& message, const FieldDescriptor& field,
+                        bool reveal) {
   if (IsNested(field)) return "";
   if (field.is_repeated()) return ListText(message, field);
   std::string text = ScalarText(message, field);
-  return RuleOf(field).secret() && !reveal && !text.empty() ? "***" : text;
+  return RuleFor(field).secret() && !reveal && !text.empty() ? "***" : text;
 }
 
-std::string Expected(const FieldDescriptor& field) {
-  const Rule& rule = RuleOf(field);
+std::string DescribeExpected(const FieldDescriptor& field) {
+  const Rule& rule = RuleFor(field);
   if (IsDuration(field)) {
     return "a duration such as 250ms or 2s, from " +
            FormatDuration(FromSeconds(rule.min())) + " to " +
--- a/leverwick/fields.h
+++ b/leverwick/fields.h
@@ -29,7 +29,7 @@
 // The shortest exact form: "250ms", "2s".
 std::string FormatDuration(nanoseconds duration);
 
-const Rule& RuleOf(const google::protobuf::FieldDescriptor& field);
+const Rule& RuleFor(const google::protobuf::FieldDescriptor& field);
 
 // Whether the field holds a google.protobuf.Duration.
 bool IsDuration(const google::protobuf::FieldDescriptor& field);
@@ -43,17 +43,17 @@
               std::string_view text, std::string* why);
 
 // Adds one entry to a list field.
-bool AddToField(google::protobuf::Message* message, const std::string& name,
-                std::string_view text, std::string* why);
+bool AppendToField(google::protobuf::Message* message, const std::string& name,
+                   std::string_view text, std::string* why);
 
 // The field's text; "" for an unset list. Secrets are shown as "***" unless
 // `reveal`.
-std::string FieldText(const google::protobuf::Message& message,
-                      const google::protobuf::FieldDescriptor& field,
-                      bool reveal = false);
+std::string FormatField(const google::protobuf::Message& message,
+                        const google::protobuf::FieldDescriptor& field,
+                        bool reveal = false);
 
 // "number from 0 to 1", "one of info, debug": for error texts and pages.
-std::string Expected(const google::protobuf::FieldDescriptor& field);
+std::string DescribeExpected(const google::protobuf::FieldDescriptor& field);
 
 // Every broken rule of the message's own fields, each "name: reason".
 std::vector<std::string> CheckRules(const google::protobuf::Message& message);
--- a/leverwick/homes.h
+++ b/leverwick/homes.h
@@ -5,7 +5,7 @@
 // endpoints are meant: any box may take a request from its caller, and no box
 // passes one on to another.
 //
-//   Homes homes{&route.homes, &holder.homes};
+//   Homes homes{&route.allowed_regions, &holder.allowed_regions};
 //   if (homes.Allow(regions.Of(endpoint.data_centre))) ...
 
 #ifndef LEVERWICK_HOMES_H_
--- a/leverwick/model_cascade.cc
+++ b/leverwick/model_cascade.cc
@@ -15,7 +15,7 @@
 // Counts are halved at this many, so that a change shows within as many again.
 constexpr double kMostAnswers = 400;
 
-double CostOf(const ServiceInfo* service, const std::string& model) {
+double CostOf(const ServiceSpec* service, const std::string& model) {
   if (service == nullptr) return 0;
   for (const ServiceModel& known : service->models) {
     if (known.name == model) return known.cost;
@@ -26,7 +26,7 @@
 }  // namespace
 
 size_t ModelCascade::First(const ServiceRoute& route,
-                           const ServiceInfo* service, double draw) const {
+                           const ServiceSpec* service, double draw) const {
   size_t largest = route.models.empty() ? 0 : route.models.size() - 1;
   if (largest == 0) return 0;
   auto counts = counts_.find({route.name, 0});
--- a/leverwick/model_cascade.h
+++ b/leverwick/model_cascade.h
@@ -31,7 +31,7 @@
   explicit ModelCascade(double enough) : enough_(enough) {}
 
   // The index of the model to ask first; `draw` is uniform in [0, 1).
-  size_t First(const ServiceRoute& route, const ServiceInfo* service,
+  size_t First(const ServiceRoute& route, const ServiceSpec* service,
                double draw) const;
 
   bool IsWeak(double confidence) const { return confidence < enough_; }
--- a/leverwick/result.cc
+++ b/leverwick/result.cc
@@ -16,7 +16,7 @@
  public:
   const char* name() const noexcept override { return "leverwick"; }
   std::string message(int value) const override {
-    return Info(static_cast<Result>(value)).message;
+    return ResultInfoFor(static_cast<Result>(value)).message;
   }
 };
 
@@ -124,7 +124,7 @@
   return results;
 }
 
-const ResultInfo& Info(Result result) {
+const ResultInfo& ResultInfoFor(Result result) {
   static const ResultInfo unknown = {Result::kBadResponse, "unlisted", 500,
                                      kMay, "Unlisted result."};
   const std::vector<ResultInfo>& all = AllResults();
@@ -148,7 +148,7 @@
   return std::error_code(static_cast<int>(result), ResultCategory());
 }
 
-Result ResultOf(const std::error_code& error) {
+Result ToResult(const std::error_code& error) {
   if (!error) return Result::kOk;
   if (error.category() != ResultCategory()) return Result::kBadResponse;
   return static_cast<Result>(error.value());
--- a/leverwick/result.h
+++ b/leverwick/result.h
@@ -5,7 +5,7 @@
 // what is known of the request: that it did not run, ran, or may have run.
 //
 //   std::error_code error = Result::kLimited;
-//   if (Info(Result::kLimited).run_state == RunState::kNotRun) ...
+//   if (ResultInfoFor(Result::kLimited).run_state == RunState::kNotRun) ...
 
 #ifndef LEVERWICK_RESULT_H_
 #define LEVERWICK_RESULT_H_
@@ -87,7 +87,7 @@
 };
 
 // The row of `result`.
-const ResultInfo& Info(Result result);
+const ResultInfo& ResultInfoFor(Result result);
 
 // All rows, in the order of their numbers.
 const std::vector<ResultInfo>& AllResults();
@@ -100,7 +100,7 @@
 std::error_code make_error_code(Result result);
 
 // The Result in `error`, or kBadResponse for a foreign category.
-Result ResultOf(const std::error_code& error);
+Result ToResult(const std::error_code& error);
 
 }  // namespace leverwick
 
--- a/leverwick/routing.cc
+++ b/leverwick/routing.cc
@@ -90,7 +90,7 @@
   for (const Rollout* rollout : table.rollouts()) {
     if (rollout->model() == version.model() &&
         rollout->to_version() == version.version() &&
-        !table.ProgressOf(rollout->name()).tripped()) {
+        !table.ProgressFor(rollout->name()).tripped()) {
       return true;
     }
   }
@@ -109,7 +109,7 @@
         table.FindVersion(rollout->model(), rollout->to_version());
     if (to == nullptr || to->state() == Version::WITHDRAWN) continue;
     if (!IsAllowed(organisation, *to)) continue;
-    RolloutProgress progress = table.ProgressOf(rollout->name());
+    RolloutProgress progress = table.ProgressFor(rollout->name());
     if (progress.tripped() || tripped(rollout->name())) continue;
     double draw = UnitHash(rollout->name() + "/" + sticky);
     if (draw >= ShareOf(*rollout, progress)) continue;
--- a/leverwick/service_config.cc
+++ b/leverwick/service_config.cc
@@ -16,38 +16,39 @@
                                              const std::string& path) const {
   for (size_t end = path.rfind('/'); end != std::string::npos;
        end = end == 0 ? std::string::npos : path.rfind('/', end - 1)) {
-    auto found = by_prefix_.find(PrefixKey(host, path.substr(0, end + 1)));
-    if (found != by_prefix_.end()) return &routes_[found->second];
+    auto found =
+        route_by_prefix_.find(PrefixKey(host, path.substr(0, end + 1)));
+    if (found != route_by_prefix_.end()) return &routes_[found->second];
   }
   return nullptr;
 }
 
-const KeyHolder* ServiceConfig::FindKey(const std::string& key) const {
-  auto found = keys_.find(key);
-  return found == keys_.end() ? nullptr : &found->second;
+const ApiKeyOwner* ServiceConfig::FindKeyOwner(const std::string& key) const {
+  auto found = owner_by_key_.find(key);
+  return found == owner_by_key_.end() ? nullptr : &found->second;
 }
 
-std::map<std::string, ColdLimit> ServiceConfig::ColdLimits() const {
-  std::map<std::string, ColdLimit> limits;
+std::map<std::string, SlowStartLimit> ServiceConfig::SlowStartLimits() const {
+  std::map<std::string, SlowStartLimit> limits;
   for (const auto& [name, service] : services_) {
-    if (service.cold_limit) limits[name] = *service.cold_limit;
+    if (service.slow_start_limit) limits[name] = *service.slow_start_limit;
   }
   return limits;
 }
 
-const ServiceInfo* ServiceConfig::FindService(const std::string& name) const {
+const ServiceSpec* ServiceConfig::FindService(const std::string& name) const {
   auto found = services_.find(name);
   return found == services_.end() ? nullptr : &found->second;
 }
 
 ServiceConfig::Builder& ServiceConfig::Builder::Add(ServiceRoute route) {
-  config_.by_prefix_[PrefixKey(route.host, route.prefix)] =
+  config_.route_by_prefix_[PrefixKey(route.host, route.prefix)] =
       config_.routes_.size();
   config_.routes_.push_back(std::move(route));
   return *this;
 }
 
-ServiceConfig::Builder& ServiceConfig::Builder::Add(ServiceInfo service) {
+ServiceConfig::Builder& ServiceConfig::Builder::Add(ServiceSpec service) {
   std::string name = service.name;
   config_.services_[name] = std::move(service);
   return *this;
@@ -55,10 +56,11 @@
 
 ServiceConfig::Builder& ServiceConfig::Builder::AddOrganisation(
     const std::string& name, const std::vector<std::string>& keys,
-    std::optional<int> priority, const std::vector<std::string>& homes) {
+    std::optional<int> priority,
+    const std::vector<std::string>& allowed_regions) {
   config_.has_organisations_ = true;
   for (const std::string& key : keys) {
-    config_.keys_[key] = {name, priority, homes};
+    config_.owner_by_key_[key] = {name, priority, allowed_regions};
   }
   return *this;
 }
@@ -71,9 +73,9 @@
 
 std::string PickService(const ServiceRoute& route, double draw) {
   double total = 0;
-  for (const ServiceShare& share : route.services) total += share.weight;
+  for (const WeightedService& share : route.services) total += share.weight;
   double left = draw * total;
-  for (const ServiceShare& share : route.services) {
+  for (const WeightedService& share : route.services) {
     left -= share.weight;
     if (left < 0) return share.service;
   }
--- a/leverwick/service_config.h
+++ b/leverwick/service_config.h
@@ -7,7 +7,7 @@
 //
 //   ServiceConfig config = ServiceConfig::Builder(7).Add(route).Build();
 //   const ServiceRoute* route = config.FindRoute("api.example", "/chat/1");
-//   const KeyHolder* holder = config.FindKey(key);
+//   const ApiKeyOwner* holder = config.FindKeyOwner(key);
 
 #ifndef LEVERWICK_SERVICE_CONFIG_H_
 #define LEVERWICK_SERVICE_CONFIG_H_
@@ -30,7 +30,7 @@
 };
 
 // A part of a route's traffic.
-struct ServiceShare {
+struct WeightedService {
   std::string service;
   double weight = 1;
 };
@@ -40,18 +40,18 @@
   std::string host;
   std::string prefix;  // begins and ends with a slash
   RouteKind kind = RouteKind::kUnsafe;
-  bool resumable = false;         // streams only
-  bool needs_key = true;          // false: anyone may call it
-  milliseconds timeout{0};        // longest that a request is held; 0: no limit
-  milliseconds objective{0};      // answers within it earn their full worth
-  milliseconds longest_pause{0};  // between events of a stream that is in time
+  bool resumable = false;    // streams only
+  bool requires_key = true;  // false: anyone may call it
+  milliseconds timeout{0};   // longest that a request is held; 0: no limit
+  milliseconds latency_objective{0};  // answers within it earn their full worth
+  milliseconds max_event_gap{0};  // between events of a stream that is in time
   int max_attempts = 1;           // endpoints that one request may be sent to
   int priority = 5;               // 0 is the most urgent
   // Models that may answer, smallest first; empty: the caller names one.
   std::vector<std::string> models;
-  std::vector<ServiceShare> services;
+  std::vector<WeightedService> services;
   // Regions whose endpoints may take its requests; empty: all.
-  std::vector<std::string> homes;
+  std::vector<std::string> allowed_regions;
 
   // Whether a request may run again after it ran or may have run.
   bool repeatable() const {
@@ -66,35 +66,35 @@
 };
 
 // What an endpoint bears while it is cold.
-struct ColdLimit {
-  double rate = 0;       // requests a second, from all boxes together
-  nanoseconds lasts{0};  // from its start until it is warm
+struct SlowStartLimit {
+  double requests_per_second = 0;  // requests a second, from all boxes together
+  nanoseconds warm_up{0};          // from its start until it is warm
 };
 
-struct ServiceInfo {
+struct ServiceSpec {
   std::string name;
   std::string health_path;
   size_t max_connections = 0;  // of each endpoint, from all callers together
-  bool runs_models = false;
-  size_t places = 0;         // requests in one batch of an engine
-  int64_t token_memory = 0;  // tokens that an engine's memory holds
-  std::optional<ColdLimit> cold_limit;
+  bool serves_models = false;
+  size_t max_batch_size = 0;    // requests in one batch of an engine
+  int64_t kv_cache_tokens = 0;  // tokens that an engine's memory holds
+  std::optional<SlowStartLimit> slow_start_limit;
   std::vector<ServiceModel> models;
 };
 
 // Who holds an API key.
-struct KeyHolder {
+struct ApiKeyOwner {
   std::string organisation;
   std::optional<int> priority;  // replaces the route's
   // Regions whose endpoints may take its requests; empty: all.
-  std::vector<std::string> homes;
+  std::vector<std::string> allowed_regions;
 };
 
 struct CallerLimits {
-  size_t head_bytes = 16UL * 1024;
-  uint64_t body_bytes = 4u << 20;
-  milliseconds head_time{3000};
-  milliseconds idle_time{15000};
+  size_t max_header_bytes = 16UL * 1024;
+  uint64_t max_body_bytes = 4u << 20;
+  milliseconds header_timeout{3000};
+  milliseconds idle_timeout{15000};
 };
 
 class ServiceConfig {
@@ -110,14 +110,14 @@
   // The route of the host with the longest prefix of `path`; null: none.
   const ServiceRoute* FindRoute(const std::string& host,
                                 const std::string& path) const;
-  const KeyHolder* FindKey(const std::string& key) const;
-  const ServiceInfo* FindService(const std::string& name) const;
+  const ApiKeyOwner* FindKeyOwner(const std::string& key) const;
+  const ServiceSpec* FindService(const std::string& name) const;
 
   // By service, of those whose endpoints bear less while they are cold.
-  std::map<std::string, ColdLimit> ColdLimits() const;
+  std::map<std::string, SlowStartLimit> SlowStartLimits() const;
 
   const std::vector<ServiceRoute>& routes() const { return routes_; }
-  const std::map<std::string, ServiceInfo>& services() const {
+  const std::map<std::string, ServiceSpec>& services() const {
     return services_;
   }
 
@@ -127,9 +127,9 @@
   bool has_organisations_ = false;
   std::vector<ServiceRoute> routes_;
   // Host and prefix, joined by a blank, to the index of the route.
-  std::unordered_map<std::string, size_t> by_prefix_;
-  std::unordered_map<std::string, KeyHolder> keys_;
-  std::map<std::string, ServiceInfo> services_;
+  std::unordered_map<std::string, size_t> route_by_prefix_;
+  std::unordered_map<std::string, ApiKeyOwner> owner_by_key_;
+  std::map<std::string, ServiceSpec> services_;
 };
 
 class ServiceConfig::Builder {
@@ -137,11 +137,11 @@
   explicit Builder(int64_t version) { config_.version_ = version; }
 
   Builder& Add(ServiceRoute route);
-  Builder& Add(ServiceInfo service);
-  Builder& AddOrganisation(const std::string& name,
-                           const std::vector<std::string>& keys,
-                           std::optional<int> priority,
-                           const std::vector<std::string>& homes = {});
+  Builder& Add(ServiceSpec service);
+  Builder& AddOrganisation(
+      const std::string& name, const std::vector<std::string>& keys,
+      std::optional<int> priority,
+      const std::vector<std::string>& allowed_regions = {});
   Builder& SetLimits(const CallerLimits& limits);
   ServiceConfig Build() { return std::move(config_); }
 
--- a/leverwick/slow_start.cc
+++ b/leverwick/slow_start.cc
@@ -40,7 +40,7 @@
   ranks_.clear();
 }
 
-void SlowStart::SetLimits(std::map<std::string, ColdLimit> limits) {
+void SlowStart::SetLimits(std::map<std::string, SlowStartLimit> limits) {
   limits_ = std::move(limits);
 }
 
@@ -58,23 +58,23 @@
   returned_[data_centre] = now;
 }
 
-const ColdLimit* SlowStart::LimitOf(const std::string& service) const {
+const SlowStartLimit* SlowStart::LimitOf(const std::string& service) const {
   auto found = limits_.find(service);
   return found == limits_.end() ? nullptr : &found->second;
 }
 
 TimePoint SlowStart::ColdUntil(const ListedEndpoint& endpoint,
-                               const ColdLimit& limit) const {
+                               const SlowStartLimit& limit) const {
   TimePoint until{};
   auto known = endpoints_.find(endpoint.address);
   if (known != endpoints_.end()) until = known->second.cold_until;
   auto returned = returned_.find(endpoint.data_centre);
   if (returned == returned_.end()) return until;
-  return std::max(until, returned->second + limit.lasts);
+  return std::max(until, returned->second + limit.warm_up);
 }
 
 bool SlowStart::IsCold(const ListedEndpoint& endpoint, TimePoint now) const {
-  const ColdLimit* limit = LimitOf(endpoint.target);
+  const SlowStartLimit* limit = LimitOf(endpoint.target);
   return limit != nullptr && now < ColdUntil(endpoint, *limit);
 }
 
@@ -96,11 +96,11 @@
 
 nanoseconds SlowStart::RoomIn(const ListedEndpoint& endpoint,
                               TimePoint now) const {
-  const ColdLimit* limit = LimitOf(endpoint.target);
+  const SlowStartLimit* limit = LimitOf(endpoint.target);
   if (limit == nullptr) return nanoseconds(0);
   nanoseconds until_warm = ColdUntil(endpoint, *limit) - now;
   if (until_warm <= nanoseconds(0)) return nanoseconds(0);
-  size_t quota = OwnQuota(endpoint.address, limit->rate);
+  size_t quota = OwnQuota(endpoint.address, limit->requests_per_second);
   if (quota == 0) return until_warm;
   auto known = endpoints_.find(endpoint.address);
   if (known == endpoints_.end()) return nanoseconds(0);
--- a/leverwick/slow_start.h
+++ b/leverwick/slow_start.h
@@ -53,7 +53,7 @@
   // The names of all boxes but this one.
   void SetBoxes(std::vector<std::string> others);
   // By service; replaces all limits.
-  void SetLimits(std::map<std::string, ColdLimit> limits);
+  void SetLimits(std::map<std::string, SlowStartLimit> limits);
 
   // The endpoint says how long it stays cold from now on; zero: it is warm.
   void Told(const std::string& endpoint, nanoseconds cold_for, TimePoint now);
@@ -77,10 +77,10 @@
     std::deque<TimePoint> sent;  // in the last second
   };
 
-  const ColdLimit* LimitOf(const std::string& service) const;
+  const SlowStartLimit* LimitOf(const std::string& service) const;
   // Zero for an endpoint that is not cold.
   TimePoint ColdUntil(const ListedEndpoint& endpoint,
-                      const ColdLimit& limit) const;
+                      const SlowStartLimit& limit) const;
   // What this box may send in a second to a cold endpoint.
   size_t OwnQuota(const std::string& endpoint, double rate) const;
   // Boxes that the endpoint's hash puts before this one.
@@ -89,7 +89,7 @@
   const std::string box_;
   // Unset: the fleet has not been read.
   std::optional<std::vector<std::string>> others_;
-  std::map<std::string, ColdLimit> limits_;
+  std::map<std::string, SlowStartLimit> limits_;
   std::unordered_map<std::string, Known> endpoints_;
   std::map<std::string, TimePoint> returned_;  // by data centre
   // By endpoint, since a choice asks for each cold endpoint's; forgotten when
--- a/leverwick/table.cc
+++ b/leverwick/table.cc
@@ -20,8 +20,8 @@
 // Old rosters are needed until every slot has moved on; see claims.h.
 constexpr size_t kRosterHistory = 32;
 
-Table::Verdict Reject(Result result, std::string detail) {
-  return Table::Verdict{result, std::move(detail), false};
+Table::ApplyResult Reject(Result result, std::string detail) {
+  return Table::ApplyResult{result, std::move(detail), false};
 }
 
 std::string NameOf(const RowEdit& edit) {
@@ -33,8 +33,8 @@
   const auto* descriptor = before.GetDescriptor();
   for (int i = 0; i < descriptor->field_count(); ++i) {
     const FieldDescriptor& field = *descriptor->field(i);
-    if (!RuleOf(field).immutable()) continue;
-    if (FieldText(before, field, true) != FieldText(after, field, true)) {
+    if (!RuleFor(field).immutable()) continue;
+    if (FormatField(before, field, true) != FormatField(after, field, true)) {
       return field.name();
     }
   }
@@ -92,9 +92,9 @@
   const auto* descriptor = row.GetDescriptor();
   for (int i = 0; i < descriptor->field_count(); ++i) {
     const FieldDescriptor& field = *descriptor->field(i);
-    if (!RuleOf(field).key()) continue;
+    if (!RuleFor(field).key()) continue;
     if (!key.empty()) key += '@';
-    key += FieldText(row, field, true);
+    key += FormatField(row, field, true);
   }
   return key;
 }
@@ -125,8 +125,8 @@
   Index();
 }
 
-Table::Verdict Table::Apply(uint64_t offset, const ConfigRecord& record) {
-  if (offset < next_offset_) return Verdict{};
+Table::ApplyResult Table::Apply(uint64_t offset, const ConfigRecord& record) {
+  if (offset < next_offset_) return ApplyResult{};
   next_offset_ = offset + 1;
   switch (record.change_case()) {
     case ConfigRecord::kEdit:
@@ -138,19 +138,19 @@
     case ConfigRecord::kTrip:
       return ApplyTrip(record.trip());
     case ConfigRecord::kSnapshot:
-      return Verdict{{}, "", true};
+      return ApplyResult{{}, "", true};
     case ConfigRecord::CHANGE_NOT_SET:
       break;
   }
   return Reject(Result::kUnusableRecord, "the record holds no change");
 }
 
-Table::Verdict Table::ApplyEdit(uint64_t offset, const Edit& edit) {
+Table::ApplyResult Table::ApplyEdit(uint64_t offset, const Edit& edit) {
   for (const RowEdit& row : edit.rows()) {
-    Verdict verdict = CheckEdit(row);
+    ApplyResult verdict = CheckEdit(row);
     if (verdict.error) return verdict;
   }
-  Verdict verdict = CheckReferences(edit);
+  ApplyResult verdict = CheckReferences(edit);
   if (verdict.error) return verdict;
   for (const RowEdit& row : edit.rows()) {
     StoredRow stored;
@@ -161,10 +161,10 @@
     Store(std::move(stored));
   }
   Index();
-  return Verdict{};
+  return ApplyResult{};
 }
 
-Table::Verdict Table::CheckEdit(const RowEdit& edit) const {
+Table::ApplyResult Table::CheckEdit(const RowEdit& edit) const {
   const StoredRow* stored = FindRow(edit.kind(), edit.key());
   uint64_t revision = stored == nullptr ? 0 : stored->revision();
   if (revision != edit.base_revision()) {
@@ -173,10 +173,10 @@
                       ", the edit was based on " +
                       std::to_string(edit.base_revision()));
   }
-  return edit.has_row() ? CheckRow(edit) : Verdict{};
+  return edit.has_row() ? CheckRow(edit) : ApplyResult{};
 }
 
-Table::Verdict Table::CheckRow(const RowEdit& edit) const {
+Table::ApplyResult Table::CheckRow(const RowEdit& edit) const {
   const Message* row = RowMessage(edit.row());
   Row expected;
   if (row == nullptr || MakeRow(edit.kind(), &expected) == nullptr ||
@@ -194,13 +194,13 @@
     return Reject(Result::kInvalidRow, NameOf(edit) + ": " + problem);
   }
   const StoredRow* stored = FindRow(edit.kind(), edit.key());
-  if (stored == nullptr || !stored->has_row()) return Verdict{};
+  if (stored == nullptr || !stored->has_row()) return ApplyResult{};
   std::string changed = ChangedImmutable(*RowMessage(stored->row()), *row);
-  if (changed.empty()) return Verdict{};
+  if (changed.empty()) return ApplyResult{};
   return Reject(Result::kImmutableCell, NameOf(edit) + ": " + changed);
 }
 
-Table::Verdict Table::CheckReferences(const Edit& edit) const {
+Table::ApplyResult Table::CheckReferences(const Edit& edit) const {
   for (const RowEdit& row : edit.rows()) {
     for (const Reference& reference : ReferencesOf(row.row())) {
       if (ExistsAfter(edit, reference.kind, reference.key)) continue;
@@ -209,7 +209,7 @@
                                                    reference.key);
     }
   }
-  return Verdict{};
+  return ApplyResult{};
 }
 
 bool Table::Exists(const std::string& kind, const std::string& key) const {
@@ -225,7 +225,8 @@
   return Exists(kind, key);
 }
 
-Table::Verdict Table::ApplyRoster(uint64_t offset, const RosterChange& change) {
+Table::ApplyResult Table::ApplyRoster(uint64_t offset,
+                                      const RosterChange& change) {
   std::vector<Roster>& history = rosters_[change.data_centre()];
   uint64_t epoch = history.empty() ? 0 : history.back().epoch();
   if (epoch != change.base_epoch()) {
@@ -238,12 +239,12 @@
   *roster.mutable_members() = change.members();
   history.push_back(std::move(roster));
   if (history.size() > kRosterHistory) history.erase(history.begin());
-  return Verdict{};
+  return ApplyResult{};
 }
 
-Table::Verdict Table::ApplyAdvance(const RolloutAdvance& advance) {
+Table::ApplyResult Table::ApplyAdvance(const RolloutAdvance& advance) {
   const Rollout* rollout = FindRollout(advance.rollout());
-  RolloutProgress progress = ProgressOf(advance.rollout());
+  RolloutProgress progress = ProgressFor(advance.rollout());
   if (rollout == nullptr || progress.tripped() || rollout->paused()) {
     return Reject(Result::kRolloutStopped, advance.rollout());
   }
@@ -254,18 +255,18 @@
   }
   progress.set_step(advance.step());
   progress_[advance.rollout()] = progress;
-  return Verdict{};
+  return ApplyResult{};
 }
 
-Table::Verdict Table::ApplyTrip(const RolloutTrip& trip) {
-  RolloutProgress progress = ProgressOf(trip.rollout());
+Table::ApplyResult Table::ApplyTrip(const RolloutTrip& trip) {
+  RolloutProgress progress = ProgressFor(trip.rollout());
   if (FindRollout(trip.rollout()) == nullptr || progress.tripped()) {
     return Reject(Result::kRolloutStopped, trip.rollout());
   }
   progress.set_tripped(true);
   progress.set_reason(trip.reason());
   progress_[trip.rollout()] = progress;
-  return Verdict{};
+  return ApplyResult{};
 }
 
 TableState Table::ToState() const {
@@ -315,7 +316,8 @@
   return Typed(FindRow("organisation", name), &Row::organisation);
 }
 
-const Organisation* Table::FindByKey(const std::string& key_sha256) const {
+const Organisation* Table::FindOrganisationByKeyHash(
+    const std::string& key_sha256) const {
   auto found = organisation_by_key_.find(key_sha256);
   if (found == organisation_by_key_.end()) return nullptr;
   return FindOrganisation(found->second);
@@ -375,7 +377,7 @@
   return AllOf(rows_, "data_centre", &Row::data_centre);
 }
 
-std::vector<const Version*> Table::VersionsOf(const std::string& model) const {
+std::vector<const Version*> Table::VersionsFor(const std::string& model) const {
   std::vector<const Version*> chosen;
   for (const Version* version : versions()) {
     if (version->model() == model) chosen.push_back(version);
@@ -383,7 +385,7 @@
   return chosen;
 }
 
-RolloutProgress Table::ProgressOf(const std::string& rollout) const {
+RolloutProgress Table::ProgressFor(const std::string& rollout) const {
   auto found = progress_.find(rollout);
   if (found != progress_.end()) return found->second;
   RolloutProgress progress;
@@ -391,7 +393,7 @@
   return progress;
 }
 
-const std::vector<Roster>& Table::RostersOf(
+const std::vector<Roster>& Table::RostersFor(
     const std::string& data_centre) const {
   static const std::vector<Roster> none;
   auto found = rosters_.find(data_centre);
--- a/leverwick/table.h
+++ b/leverwick/table.h
@@ -8,7 +8,7 @@
 // rejected the second time.
 //
 //   Table table;
-//   Table::Verdict verdict = table.Apply(offset, record);
+//   Table::ApplyResult verdict = table.Apply(offset, record);
 //   const Organisation* organisation = table.FindOrganisation("acme");
 //
 // Table is a plain value. Readers share a `const Table` that is replaced as a
@@ -46,17 +46,17 @@
 
 class Table {
  public:
-  struct Verdict {
-    std::error_code error;  // none: accepted
-    std::string detail;     // which row, and why
-    bool snapshot = false;  // a snapshot changes nothing
+  struct ApplyResult {
+    std::error_code error;     // none: accepted
+    std::string detail;        // which row, and why
+    bool is_snapshot = false;  // a snapshot changes nothing
   };
 
   Table() = default;
   explicit Table(const TableState& state);
 
   // Applies the record at `offset`. Records below next_offset() are ignored.
-  Verdict Apply(uint64_t offset, const ConfigRecord& record);
+  ApplyResult Apply(uint64_t offset, const ConfigRecord& record);
 
   // The offset up to which (exclusive) records have been applied.
   uint64_t next_offset() const { return next_offset_; }
@@ -65,7 +65,8 @@
 
   const Organisation* FindOrganisation(const std::string& name) const;
   // The organisation that a bearer key of this SHA-256 belongs to.
-  const Organisation* FindByKey(const std::string& key_sha256) const;
+  const Organisation* FindOrganisationByKeyHash(
+      const std::string& key_sha256) const;
   const Version* FindVersion(const std::string& model,
                              const std::string& version) const;
   const Service* FindService(const std::string& name) const;
@@ -74,7 +75,7 @@
   const Rollout* FindRollout(const std::string& name) const;
 
   // Versions of a model, by name.
-  std::vector<const Version*> VersionsOf(const std::string& model) const;
+  std::vector<const Version*> VersionsFor(const std::string& model) const;
   std::vector<const Version*> versions() const;
   std::vector<const Organisation*> organisations() const;
   std::vector<const Rollout*> rollouts() const;
@@ -82,10 +83,10 @@
   std::vector<const DataCentre*> data_centres() const;
 
   // The progress of a roll-out; step 0 and untripped when nothing is known.
-  RolloutProgress ProgressOf(const std::string& rollout) const;
+  RolloutProgress ProgressFor(const std::string& rollout) const;
 
   // Rosters of a data centre, oldest first; empty when it never had one.
-  const std::vector<Roster>& RostersOf(const std::string& data_centre) const;
+  const std::vector<Roster>& RostersFor(const std::string& data_centre) const;
 
   // A row with its revision, tombstones included; null when never seen.
   const StoredRow* FindRow(const std::string& kind,
@@ -97,13 +98,13 @@
  private:
   using RowMap = std::map<std::pair<std::string, std::string>, StoredRow>;
 
-  Verdict ApplyEdit(uint64_t offset, const Edit& edit);
-  Verdict ApplyRoster(uint64_t offset, const RosterChange& change);
-  Verdict ApplyAdvance(const RolloutAdvance& advance);
-  Verdict ApplyTrip(const RolloutTrip& trip);
-  Verdict CheckEdit(const RowEdit& edit) const;
-  Verdict CheckRow(const RowEdit& edit) const;
-  Verdict CheckReferences(const Edit& edit) const;
+  ApplyResult ApplyEdit(uint64_t offset, const Edit& edit);
+  ApplyResult ApplyRoster(uint64_t offset, const RosterChange& change);
+  ApplyResult ApplyAdvance(const RolloutAdvance& advance);
+  ApplyResult ApplyTrip(const RolloutTrip& trip);
+  ApplyResult CheckEdit(const RowEdit& edit) const;
+  ApplyResult CheckRow(const RowEdit& edit) const;
+  ApplyResult CheckReferences(const Edit& edit) const;
   bool Exists(const std::string& kind, const std::string& key) const;
   bool ExistsAfter(const Edit& edit, const std::string& kind,
                    const std::string& key) const;
--- a/leverwick/testing/claims_test.cc
+++ b/leverwick/testing/claims_test.cc
@@ -266,7 +266,7 @@
   Alone peers;
   ClaimCopies copies;
   ClaimOwner owner(AloneOptions(), &copies, &peers, [&](uint32_t slot) {
-    return PlacementsOf(site.table().RostersOf("dc1"), slot);
+    return PlacementsOf(site.table().RostersFor("dc1"), slot);
   });
   auto code = [&](const std::string& id, WallTime now) {
     return static_cast<Result>(owner.Handle(RequestOf(id), now).code());
@@ -324,7 +324,7 @@
   Alone peers;
   ClaimCopies copies;
   ClaimOwner owner(AloneOptions(), &copies, &peers, [&](uint32_t slot) {
-    return PlacementsOf(site.table().RostersOf("dc1"), slot);
+    return PlacementsOf(site.table().RostersFor("dc1"), slot);
   });
   auto code = [&](const std::string& id, WallTime now) {
     return static_cast<Result>(owner.Handle(RequestOf(id), now).code());
--- a/leverwick/testing/decisions_test.cc
+++ b/leverwick/testing/decisions_test.cc
@@ -26,7 +26,7 @@
 }
 
 TEST_CASE("candidates are just the versions that may serve") {
-  TableBuilder site = TableBuilder::Site();
+  TableBuilder site = TableBuilder::WithSampleRows();
   const char* const states[] = {"stable", "candidate", "draining", "withdrawn"};
   std::mt19937 random(3);
   for (int round = 0; round < 300; ++round) {
@@ -56,7 +56,7 @@
 }
 
 TEST_CASE("a roll-out takes its share, the same on every box, until tripped") {
-  TableBuilder site = TableBuilder::Site();
+  TableBuilder site = TableBuilder::WithSampleRows();
   site.Add("version",
            {{"model", "swift"}, {"version", "2"}, {"state", "candidate"}});
   site.Add("rollout", {{"name", "r"},
--- a/leverwick/testing/relay_decisions_test.cc
+++ b/leverwick/testing/relay_decisions_test.cc
@@ -164,7 +164,7 @@
 TEST_CASE("the small model is asked first while its answers are good") {
   ServiceRoute route = MakeRoute("x", "/");
   route.models = {"small", "middle", "large"};
-  ServiceInfo service;
+  ServiceSpec service;
   service.models = {{"small", 0.02}, {"middle", 0.1}, {"large", 0.3}};
   ModelCascade cascade(0.6);
   CHECK(cascade.First(route, &service, 0.5) == 0);
--- a/leverwick/testing/table_builder.h
+++ b/leverwick/testing/table_builder.h
@@ -18,33 +18,33 @@
  public:
   // Adds a row; its edit must be accepted.
   TableBuilder& Add(const std::string& kind, const Cells& cells) {
-    last_ = table_.Apply(offset_++, EditOf(table_, kind, cells));
+    last_result_ = table_.Apply(offset_++, MakeEdit(table_, kind, cells));
     return *this;
   }
 
   TableBuilder& AddRoster(const std::string& data_centre,
-                          const std::vector<std::string>& lives) {
-    const std::vector<Roster>& rosters = table_.RostersOf(data_centre);
+                          const std::vector<std::string>& incarnations) {
+    const std::vector<Roster>& rosters = table_.RostersFor(data_centre);
     ConfigRecord record;
     RosterChange* change = record.mutable_roster();
     change->set_data_centre(data_centre);
     change->set_base_epoch(rosters.empty() ? 0 : rosters.back().epoch());
-    for (const std::string& life : lives) {
+    for (const std::string& incarnation : incarnations) {
       Member* member = change->add_members();
-      member->set_life(life);
-      member->set_address(life + ":1");
+      member->set_life(incarnation);
+      member->set_address(incarnation + ":1");
     }
-    last_ = table_.Apply(offset_++, record);
+    last_result_ = table_.Apply(offset_++, record);
     return *this;
   }
 
   Table& table() { return table_; }
-  const Table::Verdict& last() const { return last_; }
+  const Table::ApplyResult& last_result() const { return last_result_; }
   uint64_t offset() const { return offset_; }
 
   // An edit of a row, based on the row as it is in `table`.
-  static ConfigRecord EditOf(const Table& table, const std::string& kind,
-                             const Cells& cells) {
+  static ConfigRecord MakeEdit(const Table& table, const std::string& kind,
+                               const Cells& cells) {
     ConfigRecord record;
     RowEdit* edit = record.mutable_edit()->add_rows();
     auto* message = MakeRow(kind, edit->mutable_row());
@@ -61,7 +61,7 @@
   }
 
   // Two data centres, two models and two organisations.
-  static TableBuilder Site() {
+  static TableBuilder WithSampleRows() {
     TableBuilder builder;
     builder.Add("data_centre", {{"name", "dc1"}})
         .Add("data_centre", {{"name", "dc2"}})
@@ -81,7 +81,7 @@
 
  private:
   Table table_;
-  Table::Verdict last_;
+  Table::ApplyResult last_result_;
   uint64_t offset_ = 0;
 };
 
--- a/leverwick/testing/table_test.cc
+++ b/leverwick/testing/table_test.cc
@@ -9,15 +9,17 @@
 namespace leverwick {
 namespace {
 
-Result CodeOf(const Table::Verdict& verdict) { return ResultOf(verdict.error); }
+Result CodeOf(const Table::ApplyResult& verdict) {
+  return ToResult(verdict.error);
+}
 
 TEST_CASE("of two edits based on the same revision the first wins") {
-  TableBuilder site = TableBuilder::Site();
+  TableBuilder site = TableBuilder::WithSampleRows();
   Table& table = site.table();
   Cells base = {{"name", "acme"}, {"home", "dc1"}, {"weight", "2"}};
-  ConfigRecord first = TableBuilder::EditOf(table, "organisation", base);
+  ConfigRecord first = TableBuilder::MakeEdit(table, "organisation", base);
   base[2].second = "3";
-  ConfigRecord second = TableBuilder::EditOf(table, "organisation", base);
+  ConfigRecord second = TableBuilder::MakeEdit(table, "organisation", base);
   CHECK(!table.Apply(site.offset(), first).error);
   CHECK(CodeOf(table.Apply(site.offset() + 1, second)) ==
         Result::kStaleRevision);
@@ -25,9 +27,9 @@
 }
 
 TEST_CASE("a record appended twice is accepted once") {
-  TableBuilder site = TableBuilder::Site();
+  TableBuilder site = TableBuilder::WithSampleRows();
   Table& table = site.table();
-  ConfigRecord record = TableBuilder::EditOf(
+  ConfigRecord record = TableBuilder::MakeEdit(
       table, "service", {{"name", "receipts"}, {"repeatable", "true"}});
   CHECK(!table.Apply(site.offset(), record).error);
   CHECK(CodeOf(table.Apply(site.offset() + 1, record)) ==
@@ -35,10 +37,10 @@
 }
 
 TEST_CASE("an old record can't bring a removed row back") {
-  TableBuilder site = TableBuilder::Site();
+  TableBuilder site = TableBuilder::WithSampleRows();
   Table& table = site.table();
   ConfigRecord create =
-      TableBuilder::EditOf(table, "service", {{"name", "receipts"}});
+      TableBuilder::MakeEdit(table, "service", {{"name", "receipts"}});
   CHECK(!table.Apply(site.offset(), create).error);
   ConfigRecord remove = create;
   RowEdit* edit = remove.mutable_edit()->mutable_rows(0);
@@ -52,11 +54,11 @@
 }
 
 TEST_CASE("rows of one edit are accepted together or not at all") {
-  TableBuilder site = TableBuilder::Site();
+  TableBuilder site = TableBuilder::WithSampleRows();
   Table& table = site.table();
   ConfigRecord record =
-      TableBuilder::EditOf(table, "service", {{"name", "good"}});
-  ConfigRecord bad = TableBuilder::EditOf(
+      TableBuilder::MakeEdit(table, "service", {{"name", "good"}});
+  ConfigRecord bad = TableBuilder::MakeEdit(
       table, "organisation", {{"name", "initech"}, {"home", "nowhere"}});
   *record.mutable_edit()->add_rows() = bad.edit().rows(0);
   CHECK(CodeOf(table.Apply(site.offset(), record)) ==
@@ -65,9 +67,9 @@
 }
 
 TEST_CASE("rules of rows are kept") {
-  TableBuilder site = TableBuilder::Site();
+  TableBuilder site = TableBuilder::WithSampleRows();
   auto code = [&site](const std::string& kind, const Cells& cells) {
-    return CodeOf(site.Add(kind, cells).last());
+    return CodeOf(site.Add(kind, cells).last_result());
   };
   CHECK(code("organisation", {{"name", "acme"}, {"home", "dc2"}}) ==
         Result::kImmutableCell);
@@ -91,7 +93,7 @@
 }
 
 TEST_CASE("roll-outs go one step at a time and a trip is for good") {
-  TableBuilder site = TableBuilder::Site();
+  TableBuilder site = TableBuilder::WithSampleRows();
   site.Add("rollout", {{"name", "r"},
                        {"model", "swift"},
                        {"from_version", "1"},
@@ -113,13 +115,13 @@
   CHECK(!table.Apply(offset++, trip).error);
   CHECK(advance(2) == Result::kRolloutStopped);
   CHECK(CodeOf(table.Apply(offset++, trip)) == Result::kRolloutStopped);
-  CHECK(table.ProgressOf("r").tripped());
+  CHECK(table.ProgressFor("r").tripped());
 }
 
 TEST_CASE("of two roster changes with the same base the first wins") {
-  TableBuilder site = TableBuilder::Site();
+  TableBuilder site = TableBuilder::WithSampleRows();
   site.AddRoster("dc1", {"a"});
-  CHECK(!site.last().error);
+  CHECK(!site.last_result().error);
   ConfigRecord stale;
   stale.mutable_roster()->set_data_centre("dc1");
   CHECK(CodeOf(site.table().Apply(site.offset(), stale)) ==
@@ -131,10 +133,10 @@
   auto pick = [random](int n) { return static_cast<int>((*random)() % n); };
   std::string name = "org" + std::to_string(pick(3));
   ConfigRecord record =
-      TableBuilder::EditOf(table, "organisation",
-                           {{"name", name},
-                            {"home", pick(10) == 0 ? "nowhere" : "dc1"},
-                            {"weight", std::to_string(pick(2000))}});
+      TableBuilder::MakeEdit(table, "organisation",
+                             {{"name", name},
+                              {"home", pick(10) == 0 ? "nowhere" : "dc1"},
+                              {"weight", std::to_string(pick(2000))}});
   RowEdit* edit = record.mutable_edit()->mutable_rows(0);
   if (pick(3) == 0) edit->set_base_revision(static_cast<uint64_t>(pick(40)));
   if (pick(6) == 0) edit->clear_row();
@@ -187,10 +189,10 @@
 }
 
 TEST_CASE("records below the applied offset change nothing") {
-  TableBuilder site = TableBuilder::Site();
+  TableBuilder site = TableBuilder::WithSampleRows();
   std::string before = site.table().ToState().SerializeAsString();
   ConfigRecord record =
-      TableBuilder::EditOf(site.table(), "service", {{"name", "late"}});
+      TableBuilder::MakeEdit(site.table(), "service", {{"name", "late"}});
   site.table().Apply(0, record);
   CHECK(site.table().ToState().SerializeAsString() == before);
 }
--- a/net/config_log.cc
+++ b/net/config_log.cc
@@ -70,7 +70,7 @@
   for (const TailRecord& tail : records) {
     if (tail.offset() < table->next_offset()) continue;
     ConfigRecord record = ParseConfigRecord(tail.data());
-    Table::Verdict verdict = table->Apply(tail.offset(), record);
+    Table::ApplyResult verdict = table->Apply(tail.offset(), record);
     if (seen) seen(tail, record, verdict);
   }
   return {};
--- a/net/config_log.h
+++ b/net/config_log.h
@@ -18,7 +18,7 @@
 
 // Called for each record applied, with its verdict.
 using RecordSeen = std::function<void(const TailRecord&, const ConfigRecord&,
-                                      const Table::Verdict&)>;
+                                      const Table::ApplyResult&)>;
 
 // Replaces `table` by the one at the end of the log. kExpired when records are
 // gone and no snapshot is left.
--- a/net/http_server.cc
+++ b/net/http_server.cc
@@ -88,7 +88,7 @@
 }
 
 void SendError(HttpResponder* responder, Result result) {
-  const ResultInfo& info = Info(result);
+  const ResultInfo& info = ResultInfoFor(result);
   responder->Send(
       info.http_status,
       {{"Content-Type", "application/json"}, {"Connection", "close"}},
--- a/net/operator_client.cc
+++ b/net/operator_client.cc
@@ -44,7 +44,7 @@
   bool found = false;
   std::error_code error =
       Read(&table, [&](const TailRecord& tail, const ConfigRecord& record,
-                       const Table::Verdict& verdict) {
+                       const Table::ApplyResult& verdict) {
         if (found || record.edit_id() != edit_id) return;
         found = true;
         outcome->error = verdict.error;
--- a/net/settings.cc
+++ b/net/settings.cc
@@ -92,7 +92,7 @@
 
   void ReadScalar(const YAML::Node& value, const std::string& path,
                   const FieldDescriptor& field, Message* message) {
-    std::string why = "expected " + Expected(field);
+    std::string why = "expected " + DescribeExpected(field);
     if (!value.IsScalar() ||
         !SetField(message, field.name(), value.Scalar(), &why)) {
       Problem(value.Mark(), path, why);
@@ -107,9 +107,9 @@
       return;
     }
     for (const YAML::Node& entry : value) {
-      std::string why = "expected " + Expected(field);
+      std::string why = "expected " + DescribeExpected(field);
       if (!entry.IsScalar() ||
-          !AddToField(message, field.name(), entry.Scalar(), &why)) {
+          !AppendToField(message, field.name(), entry.Scalar(), &why)) {
         Problem(entry.Mark(), path, why);
       }
     }
@@ -155,7 +155,7 @@
       continue;
     }
     auto source = report.sources.find(field_path);
-    std::string value = FieldText(message, field);
+    std::string value = FormatField(message, field);
     if (field.is_repeated()) value = "[" + value + "]";
     if (value.empty()) value = "\"\"";
     *text += indent + field.name() + ": " + value + "  # " +
@@ -175,10 +175,11 @@
                 field_path, text);
       continue;
     }
-    const Rule& rule = RuleOf(field);
+    const Rule& rule = RuleFor(field);
     std::string fallback = rule.default_value();
     if (fallback.empty()) fallback = rule.required() ? "required" : "none";
-    std::string expected = field.is_repeated() ? "list" : Expected(field);
+    std::string expected =
+        field.is_repeated() ? "list" : DescribeExpected(field);
     *text += "| `" + field_path + "` | " + expected + " | " + fallback + " | " +
              rule.help() + " |\n";
   }
--- a/net/testing/http_test.cc
+++ b/net/testing/http_test.cc
@@ -157,7 +157,7 @@
   RpcClient client(kAddress);
   Ack ack;
   auto call = [&](const std::string& life, const std::string& method) {
-    return ResultOf(
+    return ToResult(
         client.Call(life, method, Empty(), &ack, milliseconds(1000)));
   };
   CHECK(call("life-2", "Ping") == Result::kOk);
--- a/scenario/checks.cc
+++ b/scenario/checks.cc
@@ -309,7 +309,7 @@
   Table table;
   if (world_->operators().Read(&table)) return "can't read";
   RolloutProgress progress =
-      table.ProgressOf(arguments["name"].as<std::string>());
+      table.ProgressFor(arguments["name"].as<std::string>());
   if (arguments["tripped"] &&
       progress.tripped() != arguments["tripped"].as<bool>()) {
     return progress.tripped() ? "tripped: " + progress.reason() : "not tripped";
@@ -335,7 +335,7 @@
   std::string author = arguments["author"].as<std::string>();
   std::error_code error = world_->operators().Read(
       &table, [&](const TailRecord&, const ConfigRecord& record,
-                  const Table::Verdict& verdict) {
+                  const Table::ApplyResult& verdict) {
         if (record.author() == author) ++codes[verdict.error.value()];
       });
   if (error) return "can't read";
