--- a/leverwick/fields.cc
+++ b/leverwick/fields.cc
@@ -1,6 +1,6 @@
-// Reflection over the message descriptors. Each field is parsed into a small
-// Value first and stored only if the whole text was good, so a failed set
-// leaves the message as it was.
+// Uses reflection over the message descriptors. The text of a field is parsed
+// into a Value first and stored only if all of it is valid, so that a failed
+// call leaves the message unchanged.
 
 #include "leverwick/fields.h"
 
@@ -45,14 +45,16 @@
 
 bool ParseInteger(std::string_view text, int64_t* number) {
   double value = 0;
-  constexpr double kExact = 9007199254740992.0;  // 2^53
+  constexpr double kMaxExactInteger =
+      9007199254740992.0;  // 2^53: doubles above it skip integers
   if (!ParseNumber(text, &value)) return false;
-  if (value != std::floor(value) || std::fabs(value) > kExact) return false;
+  if (value != std::floor(value) || std::fabs(value) > kMaxExactInteger)
+    return false;
   *number = static_cast<int64_t>(value);
   return true;
 }
 
-std::string Lower(std::string text) {
+std::string ToLower(std::string text) {
   for (char& c : text) c = static_cast<char>(std::tolower(c));
   return text;
 }
@@ -63,47 +65,49 @@
   return text;
 }
 
-// One parsed entry of a field.
+// A parsed scalar, or one parsed entry of a list. Only the member that matches
+// the field's type is set.
 struct Value {
   double number = 0;
   int64_t integer = 0;
-  bool truth = false;
+  bool boolean = false;
   nanoseconds duration{0};
   std::string text;
-  const google::protobuf::EnumValueDescriptor* word = nullptr;
+  const google::protobuf::EnumValueDescriptor* enum_value = nullptr;
 };
 
-bool ParseWord(const FieldDescriptor& field, std::string_view text,
+bool ParseEnum(const FieldDescriptor& field, std::string_view text,
                Value* value) {
-  const auto* words = field.enum_type();
-  for (int i = 0; i < words->value_count(); ++i) {
-    if (Lower(words->value(i)->name()) != text) continue;
-    value->word = words->value(i);
+  const auto* type = field.enum_type();
+  for (int i = 0; i < type->value_count(); ++i) {
+    if (ToLower(type->value(i)->name()) != text) continue;
+    value->enum_value = type->value(i);
     return true;
   }
   return false;
 }
 
-bool ParseTruth(std::string_view text, bool* truth) {
-  *truth = text == "true";
-  return *truth || text == "false";
+bool ParseBool(std::string_view text, bool* boolean) {
+  *boolean = text == "true";
+  return *boolean || text == "false";
 }
 
-bool Parse(const FieldDescriptor& field, std::string_view text, Value* value) {
+bool ParseValue(const FieldDescriptor& field, std::string_view text,
+                Value* value) {
   if (IsDuration(field)) return ParseDuration(text, &value->duration);
   switch (field.cpp_type()) {
     case FieldDescriptor::CPPTYPE_STRING:
       value->text = std::string(text);
       return true;
     case FieldDescriptor::CPPTYPE_BOOL:
-      return ParseTruth(text, &value->truth);
+      return ParseBool(text, &value->boolean);
     case FieldDescriptor::CPPTYPE_DOUBLE:
       return ParseNumber(text, &value->number);
     case FieldDescriptor::CPPTYPE_INT32:
       return ParseInteger(text, &value->integer) &&
              std::abs(value->integer) <= std::numeric_limits<int32_t>::max();
     case FieldDescriptor::CPPTYPE_ENUM:
-      return ParseWord(field, text, value);
+      return ParseEnum(field, text, value);
     default:
       return false;
   }
@@ -119,7 +123,8 @@
   stored->set_nanos(static_cast<int32_t>((duration - whole).count()));
 }
 
-void Store(Message* message, const FieldDescriptor& field, const Value& value) {
+void StoreValue(Message* message, const FieldDescriptor& field,
+                const Value& value) {
   const Reflection* reflection = message->GetReflection();
   if (IsDuration(field)) {
     StoreDuration(message, field, value.duration);
@@ -130,7 +135,7 @@
       reflection->SetString(message, &field, value.text);
       break;
     case FieldDescriptor::CPPTYPE_BOOL:
-      reflection->SetBool(message, &field, value.truth);
+      reflection->SetBool(message, &field, value.boolean);
       break;
     case FieldDescriptor::CPPTYPE_DOUBLE:
       reflection->SetDouble(message, &field, value.number);
@@ -140,15 +145,15 @@
                            static_cast<int32_t>(value.integer));
       break;
     case FieldDescriptor::CPPTYPE_ENUM:
-      reflection->SetEnum(message, &field, value.word);
+      reflection->SetEnum(message, &field, value.enum_value);
       break;
     default:
       break;
   }
 }
 
-void Append(Message* message, const FieldDescriptor& field,
-            const Value& value) {
+void AppendValue(Message* message, const FieldDescriptor& field,
+                 const Value& value) {
   const Reflection* reflection = message->GetReflection();
   if (field.cpp_type() == FieldDescriptor::CPPTYPE_STRING) {
     reflection->AddString(message, &field, value.text);
@@ -157,10 +162,10 @@
   }
 }
 
-const FieldDescriptor* Find(const Message& message, const std::string& name,
-                            std::string* why) {
+const FieldDescriptor* FindField(const Message& message,
+                                 const std::string& name, std::string* error) {
   const FieldDescriptor* field = message.GetDescriptor()->FindFieldByName(name);
-  if (field == nullptr) *why = "there is no field '" + name + "'";
+  if (field == nullptr) *error = "there is no field '" + name + "'";
   return field;
 }
 
@@ -176,21 +181,21 @@
 }
 
 bool SetList(Message* message, const FieldDescriptor& field,
-             std::string_view text, std::string* why) {
+             std::string_view text, std::string* error) {
   std::vector<Value> values;
   for (std::string_view part : Split(text, ';')) {
     values.emplace_back();
-    if (part.empty() || !Parse(field, part, &values.back())) {
-      *why = "expected " + DescribeExpected(field);
+    if (part.empty() || !ParseValue(field, part, &values.back())) {
+      *error = "expected " + DescribeExpected(field);
       return false;
     }
   }
   message->GetReflection()->ClearField(message, &field);
-  for (const Value& value : values) Append(message, field, value);
+  for (const Value& value : values) AppendValue(message, field, value);
   return true;
 }
 
-std::string ScalarText(const Message& message, const FieldDescriptor& field) {
+std::string FormatScalar(const Message& message, const FieldDescriptor& field) {
   const Reflection* reflection = message.GetReflection();
   if (IsDuration(field)) {
     return FormatDuration(FromProto(
@@ -206,13 +211,13 @@
     case FieldDescriptor::CPPTYPE_INT32:
       return std::to_string(reflection->GetInt32(message, &field));
     case FieldDescriptor::CPPTYPE_ENUM:
-      return Lower(reflection->GetEnum(message, &field)->name());
+      return ToLower(reflection->GetEnum(message, &field)->name());
     default:
       return "";
   }
 }
 
-std::string ListText(const Message& message, const FieldDescriptor& field) {
+std::string FormatList(const Message& message, const FieldDescriptor& field) {
   const Reflection* reflection = message.GetReflection();
   std::string text;
   for (int i = 0; i < reflection->FieldSize(message, &field); ++i) {
@@ -230,49 +235,52 @@
          field.cpp_type() == FieldDescriptor::CPPTYPE_INT32;
 }
 
-bool InRange(const Rule& rule, double number) {
+bool IsInRange(const Rule& rule, double number) {
   return number >= rule.min() && (rule.max() == 0 || number <= rule.max());
 }
 
-bool WordAllowed(const Rule& rule, const std::string& text) {
+bool IsAllowedText(const Rule& rule, const std::string& text) {
   if (rule.one_of().empty()) return true;
-  for (const std::string& word : rule.one_of()) {
-    if (word == text) return true;
+  for (const std::string& option : rule.one_of()) {
+    if (option == text) return true;
   }
   return false;
 }
 
-bool ListInRange(const Message& message, const FieldDescriptor& field) {
+bool IsListValid(const Message& message, const FieldDescriptor& field) {
   if (field.cpp_type() != FieldDescriptor::CPPTYPE_DOUBLE) return true;
   const Reflection* reflection = message.GetReflection();
   for (int i = 0; i < reflection->FieldSize(message, &field); ++i) {
-    if (!InRange(RuleFor(field),
-                 reflection->GetRepeatedDouble(message, &field, i))) {
+    if (!IsInRange(RuleFor(field),
+                   reflection->GetRepeatedDouble(message, &field, i))) {
       return false;
     }
   }
   return true;
 }
 
-bool ScalarInRange(const Message& message, const FieldDescriptor& field) {
+bool IsScalarValid(const Message& message, const FieldDescriptor& field) {
   const Rule& rule = RuleFor(field);
-  std::string text = ScalarText(message, field);
+  std::string text = FormatScalar(message, field);
   if (IsDuration(field)) {
     nanoseconds duration{0};
     ParseDuration(text, &duration);
-    return InRange(rule, ToSeconds(duration));
+    return IsInRange(rule, ToSeconds(duration));
   }
-  if (IsNumber(field)) return InRange(rule, std::strtod(text.c_str(), nullptr));
-  return WordAllowed(rule, text);
+  if (IsNumber(field))
+    return IsInRange(rule, std::strtod(text.c_str(), nullptr));
+  return IsAllowedText(rule, text);
 }
 
-// "" when the field keeps its rule.
-std::string Broken(const Message& message, const FieldDescriptor& field) {
+// Returns why the field violates its rule, or "" when it does not.
+std::string DescribeViolation(const Message& message,
+                              const FieldDescriptor& field) {
   std::string text = FormatField(message, field, true);
   if (RuleFor(field).required() && text.empty()) return "is missing";
-  bool good = field.is_repeated() ? ListInRange(message, field)
-                                  : ScalarInRange(message, field);
-  return good ? "" : "is '" + text + "', expected " + DescribeExpected(field);
+  bool is_valid = field.is_repeated() ? IsListValid(message, field)
+                                      : IsScalarValid(message, field);
+  return is_valid ? ""
+                  : "is '" + text + "', expected " + DescribeExpected(field);
 }
 
 bool IsNested(const FieldDescriptor& field) {
@@ -289,8 +297,8 @@
     double number = 0;
     if (!ParseNumber(text, &number) || number < 0) return false;
     double length = number * static_cast<double>(unit.length.count());
-    constexpr double kLongest = 9e18;
-    if (length > kLongest) return false;
+    constexpr double kMaxNanoseconds = 9e18;  // just below the int64_t limit
+    if (length > kMaxNanoseconds) return false;
     *duration = nanoseconds(std::llround(length));
     return true;
   }
@@ -298,10 +306,10 @@
 }
 
 std::string FormatDuration(nanoseconds duration) {
-  static const Unit kExact[] = {{"s", std::chrono::seconds(1)},
-                                {"ms", milliseconds(1)},
-                                {"us", std::chrono::microseconds(1)}};
-  for (const Unit& unit : kExact) {
+  static const Unit kPrintedUnits[] = {{"s", std::chrono::seconds(1)},
+                                       {"ms", milliseconds(1)},
+                                       {"us", std::chrono::microseconds(1)}};
+  for (const Unit& unit : kPrintedUnits) {
     if (duration % unit.length == nanoseconds(0)) {
       return std::to_string(duration / unit.length) + unit.suffix;
     }
@@ -327,45 +335,46 @@
       SetDefaults(message->GetReflection()->MutableMessage(message, &field));
       continue;
     }
-    std::string why;
+    std::string error;
     const std::string& text = RuleFor(field).default_value();
-    if (!text.empty()) SetField(message, field.name(), text, &why);
+    if (!text.empty()) SetField(message, field.name(), text, &error);
   }
 }
 
 bool SetField(Message* message, const std::string& name, std::string_view text,
-              std::string* why) {
-  const FieldDescriptor* field = Find(*message, name, why);
+              std::string* error) {
+  const FieldDescriptor* field = FindField(*message, name, error);
   if (field == nullptr) return false;
-  if (field->is_repeated()) return SetList(message, *field, text, why);
+  if (field->is_repeated()) return SetList(message, *field, text, error);
   Value value;
-  if (!Parse(*field, text, &value)) {
-    *why = "expected " + DescribeExpected(*field);
+  if (!ParseValue(*field, text, &value)) {
+    *error = "expected " + DescribeExpected(*field);
     return false;
   }
-  Store(message, *field, value);
+  StoreValue(message, *field, value);
   return true;
 }
 
 bool AppendToField(Message* message, const std::string& name,
-                   std::string_view text, std::string* why) {
-  const FieldDescriptor* field = Find(*message, name, why);
+                   std::string_view text, std::string* error) {
+  const FieldDescriptor* field = FindField(*message, name, error);
   if (field == nullptr) return false;
   Value value;
-  if (!field->is_repeated() || !Parse(*field, text, &value)) {
-    *why = "expected " + DescribeExpected(*field);
+  if (!field->is_repeated() || !ParseValue(*field, text, &value)) {
+    *error = "expected " + DescribeExpected(*field);
     return false;
   }
-  Append(message, *field, value);
+  AppendValue(message, *field, value);
   return true;
 }
 
 std::string FormatField(const Message& message, const FieldDescriptor& field,
-                        bool reveal) {
+                        bool reveal_secrets) {
   if (IsNested(field)) return "";
-  if (field.is_repeated()) return ListText(message, field);
-  std::string text = ScalarText(message, field);
-  return RuleFor(field).secret() && !reveal && !text.empty() ? "***" : text;
+  if (field.is_repeated()) return FormatList(message, field);
+  std::string text = FormatScalar(message, field);
+  return RuleFor(field).secret() && !reveal_secrets && !text.empty() ? "***"
+                                                                     : text;
 }
 
 std::string DescribeExpected(const FieldDescriptor& field) {
@@ -379,22 +388,23 @@
     return "true or false";
   }
   if (IsNumber(field)) {
-    bool whole = field.cpp_type() == FieldDescriptor::CPPTYPE_INT32;
-    std::string text = whole ? "a whole number" : "a number";
+    bool is_integer = field.cpp_type() == FieldDescriptor::CPPTYPE_INT32;
+    std::string text = is_integer ? "a whole number" : "a number";
     text += " from " + FormatNumber(rule.min());
     return rule.max() == 0 ? text : text + " to " + FormatNumber(rule.max());
   }
-  std::string words;
+  std::string allowed;
   if (field.cpp_type() == FieldDescriptor::CPPTYPE_ENUM) {
     for (int i = 0; i < field.enum_type()->value_count(); ++i) {
-      words += (i > 0 ? ", " : "") + Lower(field.enum_type()->value(i)->name());
+      allowed +=
+          (i > 0 ? ", " : "") + ToLower(field.enum_type()->value(i)->name());
     }
   }
-  for (const std::string& word : rule.one_of()) {
-    words += (words.empty() ? "" : ", ") + word;
+  for (const std::string& option : rule.one_of()) {
+    allowed += (allowed.empty() ? "" : ", ") + option;
   }
   if (IsNested(field)) return "a group of settings";
-  return words.empty() ? "text" : "one of " + words;
+  return allowed.empty() ? "text" : "one of " + allowed;
 }
 
 std::vector<std::string> CheckRules(const Message& message) {
@@ -403,8 +413,8 @@
   for (int i = 0; i < descriptor->field_count(); ++i) {
     const FieldDescriptor& field = *descriptor->field(i);
     if (IsNested(field)) continue;
-    std::string broken = Broken(message, field);
-    if (!broken.empty()) problems.push_back(field.name() + " " + broken);
+    std::string violation = DescribeViolation(message, field);
+    if (!violation.empty()) problems.push_back(field.name() + " " + violation);
   }
   return problems;
 }
--- a/leverwick/result.h
+++ b/leverwick/result.h
@@ -1,8 +1,8 @@
-// Numbered result codes.
+// The result codes of the system, as a std::error_code category.
 //
-// Every refusal or failure that a caller, an operator or a peer can see has
-// one number, listed in docs/ERRORS.md. A code also fixes the HTTP status and
-// what is known of the request: that it did not run, ran, or may have run.
+// Every rejection or failure that a caller, an operator or a peer can see has a
+// number of its own, listed in docs/ERRORS.md. The code determines the HTTP
+// status and whether the request did not run, ran, or may have run.
 //
 //   std::error_code error = Result::kLimited;
 //   if (ResultInfoFor(Result::kLimited).run_state == RunState::kNotRun) ...
@@ -18,7 +18,7 @@
 
 enum class Result {
   kOk = 0,
-  // The request itself is at fault.
+  // The request is invalid.
   kBadRequest = 1001,
   kBadKey = 1002,
   kNotAllowed = 1003,
@@ -31,7 +31,7 @@
   kUnknownPath = 1010,
   kBadMethod = 1011,
   kUnknownRequest = 1012,
-  // Did not run; come back later.
+  // The request did not run and may be retried later.
   kLimited = 2001,
   kOverloaded = 2002,
   kStopping = 2003,
@@ -45,7 +45,7 @@
   kHeld = 2011,
   kEndpointsLimited = 2012,
   kEndpointsBackOff = 2013,
-  // Ran, or may have run.
+  // The request ran or may have run.
   kUnknownOutcome = 3001,
   kFailed = 3002,
   kDeadline = 3003,
@@ -54,7 +54,7 @@
   kKeyOutcomeUnknown = 3006,
   kAnswerNotKept = 3007,
   kEndsEndpoints = 3008,
-  // Changes of the table.
+  // A change of the configuration table was rejected.
   kStaleRevision = 4001,
   kInvalidRow = 4002,
   kImmutableCell = 4003,
@@ -64,7 +64,7 @@
   kStepOutOfOrder = 4007,
   kRolloutStopped = 4008,
   kUnusableRecord = 4009,
-  // Between the parts of the system.
+  // Errors between the components of the system.
   kUnreachable = 5001,
   kBadResponse = 5002,
   kRefused = 5003,
@@ -75,31 +75,33 @@
   kNoConnection = 5008,
 };
 
-// What is known of a request when its caller is told a result.
+// What is known about the execution of a request when its result is returned.
 enum class RunState { kNotRun, kRan, kUnknown };
 
 struct ResultInfo {
   Result result;
-  const char* name;  // as in docs/ERRORS.md
+  const char* name;  // as listed in docs/ERRORS.md
   int http_status;
   RunState run_state;
-  const char* message;  // one sentence for the reader of the error
+  const char* message;  // one sentence, sent in the error body
 };
 
-// The row of `result`.
+// Returns the attributes of `result`. A value that is no Result gets the
+// attributes of an "unlisted" error with HTTP status 500.
 const ResultInfo& ResultInfoFor(Result result);
 
-// All rows, in the order of their numbers.
+// Returns the attributes of all results, in ascending order of their codes.
 const std::vector<ResultInfo>& AllResults();
 
-// "not_run", "ran" or "unknown".
+// Returns "not_run", "ran" or "unknown".
 const char* RunStateName(RunState state);
 
 const std::error_category& ResultCategory();
 
 std::error_code make_error_code(Result result);
 
-// The Result in `error`, or kBadResponse for a foreign category.
+// Returns the Result in `error`, or kBadResponse when `error` belongs to
+// another category.
 Result ToResult(const std::error_code& error);
 
 }  // namespace leverwick
--- a/leverwick/service_config.cc
+++ b/leverwick/service_config.cc
@@ -1,11 +1,12 @@
-// Prefixes end with a slash, so the route of a path is found by looking up the
-// path cut after each of its slashes, the longest first.
+// Route prefixes end with a slash. Longest-prefix matching therefore looks up
+// the path truncated after each of its slashes, starting with the last one.
 
 #include "leverwick/service_config.h"
 
 namespace leverwick {
 namespace {
 
+// The key of a route: host and prefix, joined by a space.
 std::string PrefixKey(const std::string& host, const std::string& prefix) {
   return host + " " + prefix;
 }
@@ -74,10 +75,10 @@
 std::string PickService(const ServiceRoute& route, double draw) {
   double total = 0;
   for (const WeightedService& share : route.services) total += share.weight;
-  double left = draw * total;
+  double remaining = draw * total;
   for (const WeightedService& share : route.services) {
-    left -= share.weight;
-    if (left < 0) return share.service;
+    remaining -= share.weight;
+    if (remaining < 0) return share.service;
   }
   return route.services.empty() ? "" : route.services.back().service;
 }
--- a/leverwick/service_config.h
+++ b/leverwick/service_config.h
@@ -1,13 +1,13 @@
-// The routes, services and keys that operators put in force as one record.
+// The routes, services and API keys that operators configure as one record.
 //
-// Where an operator's platform keeps its own configuration, the adapter
-// decodes each record into a ServiceConfig. It is a plain value that is
-// replaced as a whole: a higher version replaces a lower one, never the other
-// way round.
+// Where an operator's platform stores its own configuration, the adapter
+// decodes each record into a ServiceConfig. It is an immutable value that is
+// replaced as a whole: a higher version replaces a lower one, never the
+// reverse.
 //
 //   ServiceConfig config = ServiceConfig::Builder(7).Add(route).Build();
 //   const ServiceRoute* route = config.FindRoute("api.example", "/chat/1");
-//   const ApiKeyOwner* holder = config.FindKeyOwner(key);
+//   const ApiKeyOwner* owner = config.FindKeyOwner(key);
 
 #ifndef LEVERWICK_SERVICE_CONFIG_H_
 #define LEVERWICK_SERVICE_CONFIG_H_
@@ -26,10 +26,10 @@
 enum class RouteKind {
   kSafe,    // may run any number of times
   kUnsafe,  // runs at most once
-  kStream,  // a series of events; as kUnsafe unless it may be resumed
+  kStream,  // a stream of events; as kUnsafe unless it is resumable
 };
 
-// A part of a route's traffic.
+// A service that receives a part of a route's requests.
 struct WeightedService {
   std::string service;
   double weight = 1;
@@ -41,19 +41,23 @@
   std::string prefix;  // begins and ends with a slash
   RouteKind kind = RouteKind::kUnsafe;
   bool resumable = false;    // streams only
-  bool requires_key = true;  // false: anyone may call it
-  milliseconds timeout{0};   // longest that a request is held; 0: no limit
-  milliseconds latency_objective{0};  // answers within it earn their full worth
-  milliseconds max_event_gap{0};  // between events of a stream that is in time
-  int max_attempts = 1;           // endpoints that one request may be sent to
-  int priority = 5;               // 0 is the most urgent
-  // Models that may answer, smallest first; empty: the caller names one.
+  bool requires_key = true;  // false: callers need no API key
+  // Upper bound of the time that a request may take; 0: none.
+  milliseconds timeout{0};
+  // A response within it has its full value.
+  milliseconds latency_objective{0};
+  // The longest gap between the events of a stream that meets its objective.
+  milliseconds max_event_gap{0};
+  int max_attempts = 1;  // endpoints that one request may be sent to
+  int priority = 5;      // 0 is the most urgent
+  // Models that may serve the route, smallest first; empty: the caller names
+  // the model.
   std::vector<std::string> models;
   std::vector<WeightedService> services;
-  // Regions whose endpoints may take its requests; empty: all.
+  // Regions whose endpoints may receive the route's requests; empty: all.
   std::vector<std::string> allowed_regions;
 
-  // Whether a request may run again after it ran or may have run.
+  // Returns whether a request may run again after it ran or may have run.
   bool repeatable() const {
     return kind == RouteKind::kSafe ||
            (kind == RouteKind::kStream && resumable);
@@ -62,34 +66,37 @@
 
 struct ServiceModel {
   std::string name;
-  double cost = 0;  // a 1,000 tokens made; tokens read count a quarter
+  // Of 1,000 completion tokens; a prompt token costs a quarter of a completion
+  // token.
+  double cost = 0;
 };
 
-// What an endpoint bears while it is cold.
+// The request rate that an endpoint can serve during slow start.
 struct SlowStartLimit {
-  double requests_per_second = 0;  // requests a second, from all boxes together
-  nanoseconds warm_up{0};          // from its start until it is warm
+  double requests_per_second = 0;  // from all boxes together
+  nanoseconds warm_up{0};          // from the endpoint's start
 };
 
 struct ServiceSpec {
   std::string name;
   std::string health_path;
-  size_t max_connections = 0;  // of each endpoint, from all callers together
+  size_t max_connections = 0;  // to each endpoint, from all callers together
   bool serves_models = false;
   size_t max_batch_size = 0;    // requests in one batch of an engine
-  int64_t kv_cache_tokens = 0;  // tokens that an engine's memory holds
+  int64_t kv_cache_tokens = 0;  // capacity of an engine's KV cache
   std::optional<SlowStartLimit> slow_start_limit;
   std::vector<ServiceModel> models;
 };
 
-// Who holds an API key.
+// The organisation that an API key belongs to.
 struct ApiKeyOwner {
   std::string organisation;
-  std::optional<int> priority;  // replaces the route's
-  // Regions whose endpoints may take its requests; empty: all.
+  std::optional<int> priority;  // overrides the route's priority
+  // Regions whose endpoints may receive its requests; empty: all.
   std::vector<std::string> allowed_regions;
 };
 
+// Limits on the requests and connections of callers.
 struct CallerLimits {
   size_t max_header_bytes = 16UL * 1024;
   uint64_t max_body_bytes = 4u << 20;
@@ -103,17 +110,20 @@
 
   int64_t version() const { return version_; }
   const CallerLimits& limits() const { return limits_; }
-  // Whether the configuration has organisations at all; without them no
-  // request needs a key.
+  // Returns whether the configuration has any organisation. Without one, no
+  // request needs an API key.
   bool has_keys() const { return has_organisations_; }
 
-  // The route of the host with the longest prefix of `path`; null: none.
+  // Returns the route of `host` with the longest prefix of `path`; null when
+  // there is none.
   const ServiceRoute* FindRoute(const std::string& host,
                                 const std::string& path) const;
+  // Return null for an unknown API key or service.
   const ApiKeyOwner* FindKeyOwner(const std::string& key) const;
   const ServiceSpec* FindService(const std::string& name) const;
 
-  // By service, of those whose endpoints bear less while they are cold.
+  // Returns the slow-start limits by service; services without one are left
+  // out.
   std::map<std::string, SlowStartLimit> SlowStartLimits() const;
 
   const std::vector<ServiceRoute>& routes() const { return routes_; }
@@ -126,7 +136,7 @@
   CallerLimits limits_;
   bool has_organisations_ = false;
   std::vector<ServiceRoute> routes_;
-  // Host and prefix, joined by a blank, to the index of the route.
+  // PrefixKey() of a route to its index in routes_.
   std::unordered_map<std::string, size_t> route_by_prefix_;
   std::unordered_map<std::string, ApiKeyOwner> owner_by_key_;
   std::map<std::string, ServiceSpec> services_;
@@ -149,8 +159,8 @@
   ServiceConfig config_;
 };
 
-// Which of a route's services takes a request; `draw` is uniform in [0, 1).
-// Empty when the route has none.
+// Selects one of a route's services at random, in proportion to their weights.
+// `draw` is uniform in [0, 1). Returns "" when the route has no service.
 std::string PickService(const ServiceRoute& route, double draw);
 
 }  // namespace leverwick
--- a/leverwick/table.cc
+++ b/leverwick/table.cc
@@ -1,8 +1,9 @@
-// Rows are kept by (kind, key) with the offset of their last accepted edit as
-// revision. Removed rows stay as tombstones, so that an old record which
-// created the row can't be accepted again. An edit is checked in full against
-// the table as it would be afterwards and only then stored, so that the rows
-// of one edit come into force together.
+// Rows are stored by (kind, key). A row's revision is the offset of its last
+// accepted edit plus one; 0 stands for a row that never existed. Removed rows
+// remain as tombstones, so that a replay of the record that created the row is
+// rejected. All rows of an edit are validated, with references resolved against
+// the table as the edit would leave it, before any of them is stored: an edit
+// is applied atomically.
 
 #include "leverwick/table.h"
 
@@ -17,19 +18,22 @@
 using google::protobuf::FieldDescriptor;
 using google::protobuf::Message;
 
-// Old rosters are needed until every slot has moved on; see claims.h.
-constexpr size_t kRosterHistory = 32;
+// Per data centre. Earlier rosters are needed until every slot has moved to its
+// new owner; see claims.h.
+constexpr size_t kMaxRosterHistory = 32;
 
 Table::ApplyResult Reject(Result result, std::string detail) {
   return Table::ApplyResult{result, std::move(detail), false};
 }
 
-std::string NameOf(const RowEdit& edit) {
+std::string DescribeRow(const RowEdit& edit) {
   return edit.kind() + " " + edit.key();
 }
 
-// The name of the first immutable field in which the rows differ, or "".
-std::string ChangedImmutable(const Message& before, const Message& after) {
+// Returns the name of the first immutable field in which the rows differ, or
+// "".
+std::string FirstChangedImmutableField(const Message& before,
+                                       const Message& after) {
   const auto* descriptor = before.GetDescriptor();
   for (int i = 0; i < descriptor->field_count(); ++i) {
     const FieldDescriptor& field = *descriptor->field(i);
@@ -41,30 +45,32 @@
   return "";
 }
 
-bool StepsRise(const Rollout& rollout) {
+bool HasAscendingSteps(const Rollout& rollout) {
   const auto& steps = rollout.steps();
   return !steps.empty() && std::is_sorted(steps.begin(), steps.end());
 }
 
-// Rules that concern several fields; "" when they hold.
-std::string CheckWhole(const Row& row) {
-  if (row.has_rollout() && !StepsRise(row.rollout())) {
-    return "steps must be a rising list of shares";
+// Checks the rules that a field's Rule can't express. Returns the violated one,
+// or "".
+std::string CheckRowRules(const Row& row) {
+  if (row.has_rollout() && !HasAscendingSteps(row.rollout())) {
+    return "steps must be a list of shares in ascending order";
   }
-  constexpr size_t kShortestSecret = 16;
+  constexpr size_t kMinSecretBytes = 16;
   if (row.has_signing_key() &&
-      row.signing_key().secret().size() < kShortestSecret) {
-    return "secret must have 16 characters or more";
+      row.signing_key().secret().size() < kMinSecretBytes) {
+    return "secret must have at least 16 characters";
   }
   return "";
 }
 
+// The row that another row refers to.
 struct Reference {
   std::string kind;
   std::string key;
 };
 
-std::vector<Reference> ReferencesOf(const Row& row) {
+std::vector<Reference> FindReferences(const Row& row) {
   if (row.has_organisation()) {
     return {{"data_centre", row.organisation().home()}};
   }
@@ -115,14 +121,14 @@
 }
 
 Table::Table(const TableState& state) : next_offset_(state.next_offset()) {
-  for (const StoredRow& row : state.rows()) Store(row);
+  for (const StoredRow& row : state.rows()) StoreRow(row);
   for (const Roster& roster : state.rosters()) {
-    rosters_[roster.data_centre()].push_back(roster);
+    rosters_by_data_centre_[roster.data_centre()].push_back(roster);
   }
   for (const RolloutProgress& progress : state.rollouts()) {
-    progress_[progress.rollout()] = progress;
+    rollout_progress_[progress.rollout()] = progress;
   }
-  Index();
+  RebuildKeyIndex();
 }
 
 Table::ApplyResult Table::Apply(uint64_t offset, const ConfigRecord& record) {
@@ -142,25 +148,25 @@
     case ConfigRecord::CHANGE_NOT_SET:
       break;
   }
-  return Reject(Result::kUnusableRecord, "the record holds no change");
+  return Reject(Result::kUnusableRecord, "the record contains no change");
 }
 
 Table::ApplyResult Table::ApplyEdit(uint64_t offset, const Edit& edit) {
   for (const RowEdit& row : edit.rows()) {
-    ApplyResult verdict = CheckEdit(row);
-    if (verdict.error) return verdict;
+    ApplyResult result = CheckEdit(row);
+    if (result.error) return result;
   }
-  ApplyResult verdict = CheckReferences(edit);
-  if (verdict.error) return verdict;
+  ApplyResult result = CheckReferences(edit);
+  if (result.error) return result;
   for (const RowEdit& row : edit.rows()) {
     StoredRow stored;
     stored.set_kind(row.kind());
     stored.set_key(row.key());
     stored.set_revision(offset + 1);
     if (row.has_row()) *stored.mutable_row() = row.row();
-    Store(std::move(stored));
+    StoreRow(std::move(stored));
   }
-  Index();
+  RebuildKeyIndex();
   return ApplyResult{};
 }
 
@@ -169,8 +175,8 @@
   uint64_t revision = stored == nullptr ? 0 : stored->revision();
   if (revision != edit.base_revision()) {
     return Reject(Result::kStaleRevision,
-                  NameOf(edit) + " is at revision " + std::to_string(revision) +
-                      ", the edit was based on " +
+                  DescribeRow(edit) + " is at revision " +
+                      std::to_string(revision) + ", the edit was based on " +
                       std::to_string(edit.base_revision()));
   }
   return edit.has_row() ? CheckRow(edit) : ApplyResult{};
@@ -181,32 +187,35 @@
   Row expected;
   if (row == nullptr || MakeRow(edit.kind(), &expected) == nullptr ||
       expected.kind_case() != edit.row().kind_case()) {
-    return Reject(Result::kUnknownKind, NameOf(edit));
+    return Reject(Result::kUnknownKind, DescribeRow(edit));
   }
   if (RowKey(*row) != edit.key()) {
-    return Reject(Result::kInvalidRow, NameOf(edit) + ": key differs from row");
+    return Reject(
+        Result::kInvalidRow,
+        DescribeRow(edit) + ": the edit's key differs from the key of its row");
   }
   for (const std::string& problem : CheckRules(*row)) {
-    return Reject(Result::kInvalidRow, NameOf(edit) + ": " + problem);
+    return Reject(Result::kInvalidRow, DescribeRow(edit) + ": " + problem);
   }
-  std::string problem = CheckWhole(edit.row());
+  std::string problem = CheckRowRules(edit.row());
   if (!problem.empty()) {
-    return Reject(Result::kInvalidRow, NameOf(edit) + ": " + problem);
+    return Reject(Result::kInvalidRow, DescribeRow(edit) + ": " + problem);
   }
   const StoredRow* stored = FindRow(edit.kind(), edit.key());
   if (stored == nullptr || !stored->has_row()) return ApplyResult{};
-  std::string changed = ChangedImmutable(*RowMessage(stored->row()), *row);
+  std::string changed =
+      FirstChangedImmutableField(*RowMessage(stored->row()), *row);
   if (changed.empty()) return ApplyResult{};
-  return Reject(Result::kImmutableCell, NameOf(edit) + ": " + changed);
+  return Reject(Result::kImmutableCell, DescribeRow(edit) + ": " + changed);
 }
 
 Table::ApplyResult Table::CheckReferences(const Edit& edit) const {
   for (const RowEdit& row : edit.rows()) {
-    for (const Reference& reference : ReferencesOf(row.row())) {
-      if (ExistsAfter(edit, reference.kind, reference.key)) continue;
-      return Reject(Result::kUnknownReference, NameOf(row) + ": there is no " +
-                                                   reference.kind + " " +
-                                                   reference.key);
+    for (const Reference& reference : FindReferences(row.row())) {
+      if (ExistsAfterEdit(edit, reference.kind, reference.key)) continue;
+      return Reject(Result::kUnknownReference,
+                    DescribeRow(row) + ": there is no " + reference.kind + " " +
+                        reference.key);
     }
   }
   return ApplyResult{};
@@ -217,8 +226,8 @@
   return stored != nullptr && stored->has_row();
 }
 
-bool Table::ExistsAfter(const Edit& edit, const std::string& kind,
-                        const std::string& key) const {
+bool Table::ExistsAfterEdit(const Edit& edit, const std::string& kind,
+                            const std::string& key) const {
   for (const RowEdit& row : edit.rows()) {
     if (row.kind() == kind && row.key() == key) return row.has_row();
   }
@@ -227,7 +236,7 @@
 
 Table::ApplyResult Table::ApplyRoster(uint64_t offset,
                                       const RosterChange& change) {
-  std::vector<Roster>& history = rosters_[change.data_centre()];
+  std::vector<Roster>& history = rosters_by_data_centre_[change.data_centre()];
   uint64_t epoch = history.empty() ? 0 : history.back().epoch();
   if (epoch != change.base_epoch()) {
     return Reject(Result::kStaleRoster, change.data_centre() + " is at epoch " +
@@ -238,7 +247,7 @@
   roster.set_epoch(offset + 1);
   *roster.mutable_members() = change.members();
   history.push_back(std::move(roster));
-  if (history.size() > kRosterHistory) history.erase(history.begin());
+  if (history.size() > kMaxRosterHistory) history.erase(history.begin());
   return ApplyResult{};
 }
 
@@ -254,7 +263,7 @@
                                                std::to_string(progress.step()));
   }
   progress.set_step(advance.step());
-  progress_[advance.rollout()] = progress;
+  rollout_progress_[advance.rollout()] = progress;
   return ApplyResult{};
 }
 
@@ -265,7 +274,7 @@
   }
   progress.set_tripped(true);
   progress.set_reason(trip.reason());
-  progress_[trip.rollout()] = progress;
+  rollout_progress_[trip.rollout()] = progress;
   return ApplyResult{};
 }
 
@@ -273,23 +282,24 @@
   TableState state;
   state.set_next_offset(next_offset_);
   for (const auto& entry : rows_) *state.add_rows() = entry.second;
-  for (const auto& entry : rosters_) {
+  for (const auto& entry : rosters_by_data_centre_) {
     for (const Roster& roster : entry.second) *state.add_rosters() = roster;
   }
-  for (const auto& entry : progress_) *state.add_rollouts() = entry.second;
+  for (const auto& entry : rollout_progress_)
+    *state.add_rollouts() = entry.second;
   return state;
 }
 
-void Table::Store(StoredRow row) {
+void Table::StoreRow(StoredRow row) {
   auto id = std::make_pair(row.kind(), row.key());
   rows_[std::move(id)] = std::move(row);
 }
 
-void Table::Index() {
-  organisation_by_key_.clear();
+void Table::RebuildKeyIndex() {
+  organisation_by_key_hash_.clear();
   for (const Organisation* organisation : organisations()) {
     for (const std::string& key : organisation->key_sha256()) {
-      organisation_by_key_[key] = organisation->name();
+      organisation_by_key_hash_[key] = organisation->name();
     }
   }
 }
@@ -302,10 +312,11 @@
 
 namespace {
 
-// The typed row behind a stored one; null for none and for tombstones.
+// Returns the message of a stored row; null when there is no row or it is a
+// tombstone.
 template <typename Message>
-const Message* Typed(const StoredRow* stored,
-                     const Message& (Row::*field)() const) {
+const Message* TypedRow(const StoredRow* stored,
+                        const Message& (Row::*field)() const) {
   if (stored == nullptr || !stored->has_row()) return nullptr;
   return &(stored->row().*field)();
 }
@@ -313,43 +324,44 @@
 }  // namespace
 
 const Organisation* Table::FindOrganisation(const std::string& name) const {
-  return Typed(FindRow("organisation", name), &Row::organisation);
+  return TypedRow(FindRow("organisation", name), &Row::organisation);
 }
 
 const Organisation* Table::FindOrganisationByKeyHash(
     const std::string& key_sha256) const {
-  auto found = organisation_by_key_.find(key_sha256);
-  if (found == organisation_by_key_.end()) return nullptr;
+  auto found = organisation_by_key_hash_.find(key_sha256);
+  if (found == organisation_by_key_hash_.end()) return nullptr;
   return FindOrganisation(found->second);
 }
 
 const Version* Table::FindVersion(const std::string& model,
                                   const std::string& version) const {
-  return Typed(FindRow("version", VersionKey(model, version)), &Row::version);
+  return TypedRow(FindRow("version", VersionKey(model, version)),
+                  &Row::version);
 }
 
 const Service* Table::FindService(const std::string& name) const {
-  return Typed(FindRow("service", name), &Row::service);
+  return TypedRow(FindRow("service", name), &Row::service);
 }
 
 const Session* Table::FindSession(const std::string& organisation,
                                   const std::string& name) const {
-  return Typed(FindRow("session", name + "@" + organisation), &Row::session);
+  return TypedRow(FindRow("session", name + "@" + organisation), &Row::session);
 }
 
 const Rollout* Table::FindRollout(const std::string& name) const {
-  return Typed(FindRow("rollout", name), &Row::rollout);
+  return TypedRow(FindRow("rollout", name), &Row::rollout);
 }
 
 namespace {
 
 template <typename Message, typename RowMap>
-std::vector<const Message*> AllOf(const RowMap& rows, const char* kind,
-                                  const Message& (Row::*field)() const) {
+std::vector<const Message*> RowsOfKind(const RowMap& rows, const char* kind,
+                                       const Message& (Row::*field)() const) {
   std::vector<const Message*> all;
   auto row = rows.lower_bound(std::make_pair(std::string(kind), std::string()));
   for (; row != rows.end() && row->first.first == kind; ++row) {
-    const Message* message = Typed(&row->second, field);
+    const Message* message = TypedRow(&row->second, field);
     if (message != nullptr) all.push_back(message);
   }
   return all;
@@ -358,23 +370,23 @@
 }  // namespace
 
 std::vector<const Version*> Table::versions() const {
-  return AllOf(rows_, "version", &Row::version);
+  return RowsOfKind(rows_, "version", &Row::version);
 }
 
 std::vector<const Organisation*> Table::organisations() const {
-  return AllOf(rows_, "organisation", &Row::organisation);
+  return RowsOfKind(rows_, "organisation", &Row::organisation);
 }
 
 std::vector<const Rollout*> Table::rollouts() const {
-  return AllOf(rows_, "rollout", &Row::rollout);
+  return RowsOfKind(rows_, "rollout", &Row::rollout);
 }
 
 std::vector<const SigningKey*> Table::signing_keys() const {
-  return AllOf(rows_, "signing_key", &Row::signing_key);
+  return RowsOfKind(rows_, "signing_key", &Row::signing_key);
 }
 
 std::vector<const DataCentre*> Table::data_centres() const {
-  return AllOf(rows_, "data_centre", &Row::data_centre);
+  return RowsOfKind(rows_, "data_centre", &Row::data_centre);
 }
 
 std::vector<const Version*> Table::VersionsFor(const std::string& model) const {
@@ -386,8 +398,8 @@
 }
 
 RolloutProgress Table::ProgressFor(const std::string& rollout) const {
-  auto found = progress_.find(rollout);
-  if (found != progress_.end()) return found->second;
+  auto found = rollout_progress_.find(rollout);
+  if (found != rollout_progress_.end()) return found->second;
   RolloutProgress progress;
   progress.set_rollout(rollout);
   return progress;
@@ -396,8 +408,8 @@
 const std::vector<Roster>& Table::RostersFor(
     const std::string& data_centre) const {
   static const std::vector<Roster> none;
-  auto found = rosters_.find(data_centre);
-  return found == rosters_.end() ? none : found->second;
+  auto found = rosters_by_data_centre_.find(data_centre);
+  return found == rosters_by_data_centre_.end() ? none : found->second;
 }
 
 std::vector<const StoredRow*> Table::rows() const {
--- a/leverwick/table.h
+++ b/leverwick/table.h
@@ -1,18 +1,20 @@
-// The operators' table, as every box computes it from the configuration log.
+// The operators' configuration table, a replicated state machine over the
+// configuration log.
 //
-// Table is a reducer: it takes the records of the log in the order of their
-// offsets and gives a verdict on each. Equal records give equal tables and
-// verdicts on every box, so nothing else need be agreed. A row edit is
-// accepted exactly if it names the revision the row has at that offset: of
-// two racing edits the first wins, and the same record appended twice is
-// rejected the second time.
+// Table applies the records of the log in the order of their offsets and
+// accepts or rejects each. It is deterministic: the same records give the same
+// table and the same results on every box, so the boxes need no further
+// agreement. Edits use optimistic concurrency control: a row edit is accepted
+// only if its base revision is the row's revision at that offset. Of two
+// concurrent edits the first in the log wins, and a record that was appended
+// twice is rejected the second time.
 //
 //   Table table;
-//   Table::ApplyResult verdict = table.Apply(offset, record);
+//   Table::ApplyResult result = table.Apply(offset, record);
 //   const Organisation* organisation = table.FindOrganisation("acme");
 //
-// Table is a plain value. Readers share a `const Table` that is replaced as a
-// whole, see TableHolder.
+// Table is a plain value. Not thread-safe. Readers share a `const Table` that
+// is replaced as a whole; see TableHolder.
 
 #ifndef LEVERWICK_TABLE_H_
 #define LEVERWICK_TABLE_H_
@@ -31,25 +33,25 @@
 
 namespace leverwick {
 
-// "model@version".
+// Returns the key of a version's row, "model@version".
 std::string VersionKey(const std::string& model, const std::string& version);
 
-// The key of a row's message: its key fields joined by '@'.
+// Returns the key of a row: its key fields joined by '@'.
 std::string RowKey(const google::protobuf::Message& row);
 
-// The message inside `row`, or null when it is empty.
+// Returns the message inside `row`, or null when `row` is empty.
 const google::protobuf::Message* RowMessage(const Row& row);
 
-// Sets `row` to an empty message of `kind` and returns it; null when there is
-// no such kind.
+// Sets `row` to an empty message of `kind` and returns the message. Returns
+// null and leaves `row` empty when there is no such kind.
 google::protobuf::Message* MakeRow(const std::string& kind, Row* row);
 
 class Table {
  public:
   struct ApplyResult {
-    std::error_code error;     // none: accepted
-    std::string detail;        // which row, and why
-    bool is_snapshot = false;  // a snapshot changes nothing
+    std::error_code error;     // not set when the record was accepted
+    std::string detail;        // the rejected row and the reason
+    bool is_snapshot = false;  // a snapshot record; it changes nothing
   };
 
   Table() = default;
@@ -58,13 +60,15 @@
   // Applies the record at `offset`. Records below next_offset() are ignored.
   ApplyResult Apply(uint64_t offset, const ConfigRecord& record);
 
-  // The offset up to which (exclusive) records have been applied.
+  // The offset after the last applied record.
   uint64_t next_offset() const { return next_offset_; }
 
+  // Returns the whole table, for a snapshot. Table(state) restores it.
   TableState ToState() const;
 
+  // The Find methods return null for an absent or removed row.
   const Organisation* FindOrganisation(const std::string& name) const;
-  // The organisation that a bearer key of this SHA-256 belongs to.
+  // Returns the organisation that owns the bearer key with this SHA-256 hash.
   const Organisation* FindOrganisationByKeyHash(
       const std::string& key_sha256) const;
   const Version* FindVersion(const std::string& model,
@@ -74,7 +78,7 @@
                              const std::string& name) const;
   const Rollout* FindRollout(const std::string& name) const;
 
-  // Versions of a model, by name.
+  // Returns the versions of a model, ordered by name.
   std::vector<const Version*> VersionsFor(const std::string& model) const;
   std::vector<const Version*> versions() const;
   std::vector<const Organisation*> organisations() const;
@@ -82,20 +86,24 @@
   std::vector<const SigningKey*> signing_keys() const;
   std::vector<const DataCentre*> data_centres() const;
 
-  // The progress of a roll-out; step 0 and untripped when nothing is known.
+  // Returns the progress of a roll-out; step 0 and not tripped when no record
+  // has changed it.
   RolloutProgress ProgressFor(const std::string& rollout) const;
 
-  // Rosters of a data centre, oldest first; empty when it never had one.
+  // Returns the most recent rosters of a data centre, oldest first; empty when
+  // none was recorded.
   const std::vector<Roster>& RostersFor(const std::string& data_centre) const;
 
-  // A row with its revision, tombstones included; null when never seen.
+  // Returns a row with its revision, also if it is a tombstone; null when the
+  // row never existed.
   const StoredRow* FindRow(const std::string& kind,
                            const std::string& key) const;
 
-  // All rows, tombstones included, by kind and key.
+  // Returns all rows, including tombstones, ordered by kind and key.
   std::vector<const StoredRow*> rows() const;
 
  private:
+  // By kind and key.
   using RowMap = std::map<std::pair<std::string, std::string>, StoredRow>;
 
   ApplyResult ApplyEdit(uint64_t offset, const Edit& edit);
@@ -106,19 +114,20 @@
   ApplyResult CheckRow(const RowEdit& edit) const;
   ApplyResult CheckReferences(const Edit& edit) const;
   bool Exists(const std::string& kind, const std::string& key) const;
-  bool ExistsAfter(const Edit& edit, const std::string& kind,
-                   const std::string& key) const;
-  void Store(StoredRow row);
-  void Index();
+  bool ExistsAfterEdit(const Edit& edit, const std::string& kind,
+                       const std::string& key) const;
+  void StoreRow(StoredRow row);
+  void RebuildKeyIndex();
 
   RowMap rows_;
-  std::map<std::string, std::string> organisation_by_key_;
-  std::map<std::string, std::vector<Roster>> rosters_;
-  std::map<std::string, RolloutProgress> progress_;
+  // SHA-256 of a bearer key to the organisation's name.
+  std::map<std::string, std::string> organisation_by_key_hash_;
+  std::map<std::string, std::vector<Roster>> rosters_by_data_centre_;
+  std::map<std::string, RolloutProgress> rollout_progress_;
   uint64_t next_offset_ = 0;
 };
 
-// Hands readers the table in force. Thread-safe.
+// Holds the current table and shares it with readers. Thread-safe.
 class TableHolder {
  public:
   TableHolder() : table_(std::make_shared<const Table>()) {}
--- a/leverwick/testing/table_builder.h
+++ b/leverwick/testing/table_builder.h
@@ -1,4 +1,8 @@
-// Builds tables and records for tests.
+// Builds tables and configuration records for tests.
+//
+//   TableBuilder builder = TableBuilder::WithSampleRows();
+//   builder.Add("service", {{"name", "receipts"}});
+//   Table& table = builder.table();
 
 #ifndef LEVERWICK_TESTING_TABLE_BUILDER_H_
 #define LEVERWICK_TESTING_TABLE_BUILDER_H_
@@ -12,16 +16,19 @@
 
 namespace leverwick {
 
+// Pairs of field name and text.
 using Cells = std::vector<std::pair<std::string, std::string>>;
 
 class TableBuilder {
  public:
-  // Adds a row; its edit must be accepted.
+  // Applies an edit that sets a row. last_result() says whether it was
+  // accepted.
   TableBuilder& Add(const std::string& kind, const Cells& cells) {
-    last_result_ = table_.Apply(offset_++, MakeEdit(table_, kind, cells));
+    last_result_ = table_.Apply(next_offset_++, MakeEdit(table_, kind, cells));
     return *this;
   }
 
+  // Applies a roster change, based on the current roster.
   TableBuilder& AddRoster(const std::string& data_centre,
                           const std::vector<std::string>& incarnations) {
     const std::vector<Roster>& rosters = table_.RostersFor(data_centre);
@@ -34,24 +41,24 @@
       member->set_life(incarnation);
       member->set_address(incarnation + ":1");
     }
-    last_result_ = table_.Apply(offset_++, record);
+    last_result_ = table_.Apply(next_offset_++, record);
     return *this;
   }
 
   Table& table() { return table_; }
   const Table::ApplyResult& last_result() const { return last_result_; }
-  uint64_t offset() const { return offset_; }
+  uint64_t next_offset() const { return next_offset_; }
 
-  // An edit of a row, based on the row as it is in `table`.
+  // Returns an edit that sets a row, based on its current revision in `table`.
   static ConfigRecord MakeEdit(const Table& table, const std::string& kind,
                                const Cells& cells) {
     ConfigRecord record;
     RowEdit* edit = record.mutable_edit()->add_rows();
     auto* message = MakeRow(kind, edit->mutable_row());
     SetDefaults(message);
-    std::string why;
+    std::string error;
     for (const auto& cell : cells) {
-      SetField(message, cell.first, cell.second, &why);
+      SetField(message, cell.first, cell.second, &error);
     }
     edit->set_kind(kind);
     edit->set_key(RowKey(*message));
@@ -60,7 +67,7 @@
     return record;
   }
 
-  // Two data centres, two models and two organisations.
+  // Returns a table of two data centres, two models and two organisations.
   static TableBuilder WithSampleRows() {
     TableBuilder builder;
     builder.Add("data_centre", {{"name", "dc1"}})
@@ -82,7 +89,7 @@
  private:
   Table table_;
   Table::ApplyResult last_result_;
-  uint64_t offset_ = 0;
+  uint64_t next_offset_ = 0;
 };
 
 }  // namespace leverwick
--- a/leverwick/testing/table_test.cc
+++ b/leverwick/testing/table_test.cc
@@ -9,19 +9,19 @@
 namespace leverwick {
 namespace {
 
-Result CodeOf(const Table::ApplyResult& verdict) {
-  return ToResult(verdict.error);
+Result ResultCode(const Table::ApplyResult& result) {
+  return ToResult(result.error);
 }
 
-TEST_CASE("of two edits based on the same revision the first wins") {
+TEST_CASE("of two edits with the same base revision the first wins") {
   TableBuilder site = TableBuilder::WithSampleRows();
   Table& table = site.table();
   Cells base = {{"name", "acme"}, {"home", "dc1"}, {"weight", "2"}};
   ConfigRecord first = TableBuilder::MakeEdit(table, "organisation", base);
   base[2].second = "3";
   ConfigRecord second = TableBuilder::MakeEdit(table, "organisation", base);
-  CHECK(!table.Apply(site.offset(), first).error);
-  CHECK(CodeOf(table.Apply(site.offset() + 1, second)) ==
+  CHECK(!table.Apply(site.next_offset(), first).error);
+  CHECK(ResultCode(table.Apply(site.next_offset() + 1, second)) ==
         Result::kStaleRevision);
   CHECK(table.FindOrganisation("acme")->weight() == 2);
 }
@@ -31,29 +31,29 @@
   Table& table = site.table();
   ConfigRecord record = TableBuilder::MakeEdit(
       table, "service", {{"name", "receipts"}, {"repeatable", "true"}});
-  CHECK(!table.Apply(site.offset(), record).error);
-  CHECK(CodeOf(table.Apply(site.offset() + 1, record)) ==
+  CHECK(!table.Apply(site.next_offset(), record).error);
+  CHECK(ResultCode(table.Apply(site.next_offset() + 1, record)) ==
         Result::kStaleRevision);
 }
 
-TEST_CASE("an old record can't bring a removed row back") {
+TEST_CASE("a replayed record does not restore a removed row") {
   TableBuilder site = TableBuilder::WithSampleRows();
   Table& table = site.table();
   ConfigRecord create =
       TableBuilder::MakeEdit(table, "service", {{"name", "receipts"}});
-  CHECK(!table.Apply(site.offset(), create).error);
+  CHECK(!table.Apply(site.next_offset(), create).error);
   ConfigRecord remove = create;
   RowEdit* edit = remove.mutable_edit()->mutable_rows(0);
   edit->clear_row();
   edit->set_base_revision(table.FindRow("service", "receipts")->revision());
-  CHECK(!table.Apply(site.offset() + 1, remove).error);
+  CHECK(!table.Apply(site.next_offset() + 1, remove).error);
   CHECK(table.FindService("receipts") == nullptr);
-  CHECK(CodeOf(table.Apply(site.offset() + 2, create)) ==
+  CHECK(ResultCode(table.Apply(site.next_offset() + 2, create)) ==
         Result::kStaleRevision);
   CHECK(table.FindService("receipts") == nullptr);
 }
 
-TEST_CASE("rows of one edit are accepted together or not at all") {
+TEST_CASE("the rows of an edit are applied atomically") {
   TableBuilder site = TableBuilder::WithSampleRows();
   Table& table = site.table();
   ConfigRecord record =
@@ -61,15 +61,15 @@
   ConfigRecord bad = TableBuilder::MakeEdit(
       table, "organisation", {{"name", "initech"}, {"home", "nowhere"}});
   *record.mutable_edit()->add_rows() = bad.edit().rows(0);
-  CHECK(CodeOf(table.Apply(site.offset(), record)) ==
+  CHECK(ResultCode(table.Apply(site.next_offset(), record)) ==
         Result::kUnknownReference);
   CHECK(table.FindService("good") == nullptr);
 }
 
-TEST_CASE("rules of rows are kept") {
+TEST_CASE("a row that violates a rule is rejected") {
   TableBuilder site = TableBuilder::WithSampleRows();
   auto code = [&site](const std::string& kind, const Cells& cells) {
-    return CodeOf(site.Add(kind, cells).last_result());
+    return ResultCode(site.Add(kind, cells).last_result());
   };
   CHECK(code("organisation", {{"name", "acme"}, {"home", "dc2"}}) ==
         Result::kImmutableCell);
@@ -92,7 +92,7 @@
                          {"steps", "0.1;0.5"}}) == Result::kUnknownReference);
 }
 
-TEST_CASE("roll-outs go one step at a time and a trip is for good") {
+TEST_CASE("a roll-out advances one step at a time and a trip is permanent") {
   TableBuilder site = TableBuilder::WithSampleRows();
   site.Add("rollout", {{"name", "r"},
                        {"model", "swift"},
@@ -100,12 +100,12 @@
                        {"to_version", "2"},
                        {"steps", "0.1;0.5;1"}});
   Table& table = site.table();
-  uint64_t offset = site.offset();
+  uint64_t offset = site.next_offset();
   auto advance = [&](int step) {
     ConfigRecord record;
     record.mutable_advance()->set_rollout("r");
     record.mutable_advance()->set_step(step);
-    return CodeOf(table.Apply(offset++, record));
+    return ResultCode(table.Apply(offset++, record));
   };
   CHECK(advance(2) == Result::kStepOutOfOrder);
   CHECK(advance(1) == Result::kOk);
@@ -114,21 +114,22 @@
   trip.mutable_trip()->set_rollout("r");
   CHECK(!table.Apply(offset++, trip).error);
   CHECK(advance(2) == Result::kRolloutStopped);
-  CHECK(CodeOf(table.Apply(offset++, trip)) == Result::kRolloutStopped);
+  CHECK(ResultCode(table.Apply(offset++, trip)) == Result::kRolloutStopped);
   CHECK(table.ProgressFor("r").tripped());
 }
 
-TEST_CASE("of two roster changes with the same base the first wins") {
+TEST_CASE("of two roster changes with the same base epoch the first wins") {
   TableBuilder site = TableBuilder::WithSampleRows();
   site.AddRoster("dc1", {"a"});
   CHECK(!site.last_result().error);
   ConfigRecord stale;
   stale.mutable_roster()->set_data_centre("dc1");
-  CHECK(CodeOf(site.table().Apply(site.offset(), stale)) ==
+  CHECK(ResultCode(site.table().Apply(site.next_offset(), stale)) ==
         Result::kStaleRoster);
 }
 
-// A random edit of a small world, often with an old revision.
+// Returns a random edit of one of three organisations, often with a stale base
+// revision.
 ConfigRecord RandomRecord(const Table& table, std::mt19937* random) {
   auto pick = [random](int n) { return static_cast<int>((*random)() % n); };
   std::string name = "org" + std::to_string(pick(3));
@@ -143,9 +144,10 @@
   return record;
 }
 
-// The rule in its plainest form: revision and range, nothing else.
-struct NaiveTable {
-  std::map<std::string, std::pair<uint64_t, double>> rows;  // weight; -1 none
+// A reference model of the table: checks base revision and field range only.
+struct ReferenceTable {
+  // By key: revision and weight; a weight of -1 stands for a tombstone.
+  std::map<std::string, std::pair<uint64_t, double>> rows;
 
   bool Apply(uint64_t offset, const RowEdit& edit) {
     auto found = rows.find(edit.key());
@@ -160,25 +162,26 @@
   }
 };
 
-TEST_CASE("the reducer agrees with the naive one, and with itself elsewhere") {
+TEST_CASE(
+    "the table agrees with a reference model and with a restored replica") {
   for (unsigned seed = 1; seed <= 40; ++seed) {
     std::mt19937 random(seed);
     TableBuilder site;
     site.Add("data_centre", {{"name", "dc1"}});
     Table& table = site.table();
-    NaiveTable naive;
-    Table elsewhere(table.ToState());
+    ReferenceTable reference;
+    Table replica(table.ToState());
     for (uint64_t offset = 1; offset < 120; ++offset) {
       ConfigRecord record = RandomRecord(table, &random);
       bool accepted = !table.Apply(offset, record).error;
-      REQUIRE(accepted == naive.Apply(offset, record.edit().rows(0)));
-      REQUIRE(accepted == !elsewhere.Apply(offset, record).error);
-      // Another box starts from a snapshot at any moment.
-      if (random() % 10 == 0) elsewhere = Table(table.ToState());
+      REQUIRE(accepted == reference.Apply(offset, record.edit().rows(0)));
+      REQUIRE(accepted == !replica.Apply(offset, record).error);
+      // The replica restarts from a snapshot at random offsets.
+      if (random() % 10 == 0) replica = Table(table.ToState());
     }
     REQUIRE(table.ToState().SerializeAsString() ==
-            elsewhere.ToState().SerializeAsString());
-    for (const auto& row : naive.rows) {
+            replica.ToState().SerializeAsString());
+    for (const auto& row : reference.rows) {
       const Organisation* organisation = table.FindOrganisation(row.first);
       REQUIRE((organisation != nullptr) == (row.second.second >= 0));
       if (organisation != nullptr) {
@@ -188,7 +191,7 @@
   }
 }
 
-TEST_CASE("records below the applied offset change nothing") {
+TEST_CASE("records below the next offset are ignored") {
   TableBuilder site = TableBuilder::WithSampleRows();
   std::string before = site.table().ToState().SerializeAsString();
   ConfigRecord record =
