--- a/leverwick/model_cascade.cc
+++ b/leverwick/model_cascade.cc
@@ -16,7 +16,7 @@
 // responses again.
 constexpr double kMaxResponses = 400;
 
-double FindModelCost(const ServiceInfo* service, const std::string& model) {
+double FindModelCost(const ServiceSpec* service, const std::string& model) {
   if (service == nullptr) return 0;
   for (const ServiceModel& candidate : service->models) {
     if (candidate.name == model) return candidate.cost;
@@ -27,7 +27,7 @@
 }  // namespace
 
 size_t ModelCascade::ChooseFirstModel(const ServiceRoute& route,
-                                      const ServiceInfo* service,
+                                      const ServiceSpec* service,
                                       double draw) const {
   size_t largest = route.models.empty() ? 0 : route.models.size() - 1;
   if (largest == 0) return 0;
--- a/leverwick/model_cascade.h
+++ b/leverwick/model_cascade.h
@@ -35,7 +35,7 @@
       : min_confidence_(min_confidence) {}
 
   // Returns the index of the model to try first. `draw` is uniform in [0, 1).
-  size_t ChooseFirstModel(const ServiceRoute& route, const ServiceInfo* service,
+  size_t ChooseFirstModel(const ServiceRoute& route, const ServiceSpec* service,
                           double draw) const;
 
   bool IsWeak(double confidence) const { return confidence < min_confidence_; }
--- a/leverwick/slow_start.cc
+++ b/leverwick/slow_start.cc
@@ -42,7 +42,7 @@
   ranks_.clear();
 }
 
-void SlowStart::SetLimits(std::map<std::string, ColdLimit> limits) {
+void SlowStart::SetLimits(std::map<std::string, SlowStartLimit> limits) {
   limits_ = std::move(limits);
 }
 
@@ -61,23 +61,23 @@
   restored_at_[data_centre] = now;
 }
 
-const ColdLimit* SlowStart::FindLimit(const std::string& service) const {
+const SlowStartLimit* SlowStart::FindLimit(const std::string& service) const {
   auto found = limits_.find(service);
   return found == limits_.end() ? nullptr : &found->second;
 }
 
 TimePoint SlowStart::ColdUntil(const ListedEndpoint& endpoint,
-                               const ColdLimit& limit) const {
+                               const SlowStartLimit& limit) const {
   TimePoint cold_until{};
   auto found = endpoints_.find(endpoint.address);
   if (found != endpoints_.end()) cold_until = found->second.cold_until;
   auto restored = restored_at_.find(endpoint.data_centre);
   if (restored == restored_at_.end()) return cold_until;
-  return std::max(cold_until, restored->second + limit.lasts);
+  return std::max(cold_until, restored->second + limit.warm_up);
 }
 
 bool SlowStart::IsCold(const ListedEndpoint& endpoint, TimePoint now) const {
-  const ColdLimit* limit = FindLimit(endpoint.target);
+  const SlowStartLimit* limit = FindLimit(endpoint.target);
   return limit != nullptr && now < ColdUntil(endpoint, *limit);
 }
 
@@ -99,11 +99,11 @@
 
 nanoseconds SlowStart::TimeUntilSendAllowed(const ListedEndpoint& endpoint,
                                             TimePoint now) const {
-  const ColdLimit* limit = FindLimit(endpoint.target);
+  const SlowStartLimit* limit = FindLimit(endpoint.target);
   if (limit == nullptr) return nanoseconds(0);
   nanoseconds until_warm = ColdUntil(endpoint, *limit) - now;
   if (until_warm <= nanoseconds(0)) return nanoseconds(0);
-  size_t quota = OwnQuota(endpoint.address, limit->rate);
+  size_t quota = OwnQuota(endpoint.address, limit->requests_per_second);
   if (quota == 0) return until_warm;
   auto found = endpoints_.find(endpoint.address);
   if (found == endpoints_.end()) return nanoseconds(0);
--- a/leverwick/slow_start.h
+++ b/leverwick/slow_start.h
@@ -55,7 +55,7 @@
   // Sets the names of all boxes except this one.
   void SetBoxes(std::vector<std::string> others);
   // Replaces all limits, by service.
-  void SetLimits(std::map<std::string, ColdLimit> limits);
+  void SetLimits(std::map<std::string, SlowStartLimit> limits);
 
   // Records an endpoint's report that it stays cold for `cold_for` from `now`;
   // zero means that it is warm.
@@ -83,10 +83,10 @@
     std::deque<TimePoint> sends;  // in the last second
   };
 
-  const ColdLimit* FindLimit(const std::string& service) const;
+  const SlowStartLimit* FindLimit(const std::string& service) const;
   // Returns the end of the endpoint's warm-up, zero if none is recorded.
   TimePoint ColdUntil(const ListedEndpoint& endpoint,
-                      const ColdLimit& limit) const;
+                      const SlowStartLimit& limit) const;
   // Returns the requests per second that this box may send to a cold endpoint.
   size_t OwnQuota(const std::string& endpoint, double rate) const;
   // Returns the number of boxes that rank before this one for the endpoint.
@@ -95,7 +95,7 @@
   const std::string box_;
   // Unset until the list of boxes has been read.
   std::optional<std::vector<std::string>> others_;
-  std::map<std::string, ColdLimit> limits_;
+  std::map<std::string, SlowStartLimit> limits_;
   std::unordered_map<std::string, EndpointState> endpoints_;
   std::map<std::string, TimePoint> restored_at_;  // by data centre
   // Rank of this box by endpoint, cached because each choice needs the ranks of
--- a/leverwick/testing/claims_test.cc
+++ b/leverwick/testing/claims_test.cc
@@ -270,7 +270,7 @@
   UnreachablePeers peers;
   ClaimReplicas replicas;
   ClaimOwner owner(SingleBoxOptions(), &replicas, &peers, [&](uint32_t slot) {
-    return ComputePlacements(site.table().RostersOf("dc1"), slot);
+    return ComputePlacements(site.table().RostersFor("dc1"), slot);
   });
   auto code = [&](const std::string& id, WallTime now) {
     return static_cast<Result>(owner.Handle(MakeRequest(id), now).code());
@@ -329,7 +329,7 @@
   UnreachablePeers peers;
   ClaimReplicas replicas;
   ClaimOwner owner(SingleBoxOptions(), &replicas, &peers, [&](uint32_t slot) {
-    return ComputePlacements(site.table().RostersOf("dc1"), slot);
+    return ComputePlacements(site.table().RostersFor("dc1"), slot);
   });
   auto code = [&](const std::string& id, WallTime now) {
     return static_cast<Result>(owner.Handle(MakeRequest(id), now).code());
--- a/leverwick/testing/decisions_test.cc
+++ b/leverwick/testing/decisions_test.cc
@@ -28,7 +28,7 @@
 }
 
 TEST_CASE("the candidates are exactly the versions that may serve") {
-  TableBuilder site = TableBuilder::Site();
+  TableBuilder site = TableBuilder::WithSampleRows();
   const char* const states[] = {"stable", "candidate", "draining", "withdrawn"};
   std::mt19937 random(3);
   for (int round = 0; round < 300; ++round) {
@@ -58,7 +58,7 @@
 }
 
 TEST_CASE("a roll-out gets its share of sessions until it is tripped") {
-  TableBuilder site = TableBuilder::Site();
+  TableBuilder site = TableBuilder::WithSampleRows();
   site.Add("version",
            {{"model", "swift"}, {"version", "2"}, {"state", "candidate"}});
   site.Add("rollout", {{"name", "r"},
--- a/leverwick/testing/relay_decisions_test.cc
+++ b/leverwick/testing/relay_decisions_test.cc
@@ -166,7 +166,7 @@
 TEST_CASE("the small model is tried first while its responses are confident") {
   ServiceRoute route = MakeRoute("x", "/");
   route.models = {"small", "middle", "large"};
-  ServiceInfo service;
+  ServiceSpec service;
   service.models = {{"small", 0.02}, {"middle", 0.1}, {"large", 0.3}};
   ModelCascade cascade(0.6);
   CHECK(cascade.ChooseFirstModel(route, &service, 0.5) == 0);
