--- a/leverwick/endpoint_pool.h
+++ b/leverwick/endpoint_pool.h
@@ -9,7 +9,7 @@
 //
 //   EndpointPool pool;
 //   pool.SetListed(endpoints, now);
-//   EndpointPool::Choice choice = pool.Pick({"swift", "3"}, prefix, {}, now);
+//   EndpointPool::Choice choice = pool.Pick("swift@3", prefix, {}, now);
 //   pool.RecordStart(choice.address);
 //   ...
 //   pool.RecordCompletion(choice.address, ok, now);
--- a/leverwick/staggered_start.h
+++ b/leverwick/staggered_start.h
@@ -35,8 +35,8 @@
   size_t boxes() const { return others_.size() + 1; }
 
   // Returns how long this box waits before it starts the task. `window` is the
-  // time for the slots of the ranked boxes together. `draw` is uniform in [0,
-  // 1] and drawn anew for each task.
+  // time for the slots of the ranked boxes together. `draw` is uniform from 0
+  // to 1 and drawn anew for each task.
   nanoseconds DelayBefore(const std::string& task, nanoseconds window,
                           double draw) const {
     size_t rank = RendezvousRank(task, box_, others_);
--- a/leverwick/version_estimates.cc
+++ b/leverwick/version_estimates.cc
@@ -15,8 +15,8 @@
 constexpr double kPriorRatings = 8;
 constexpr double kPriorAnswers = 20;
 constexpr double kPriorWeakShare = 0.3;
-constexpr double kPriorCompletionTokens = 200;  // tokens
-constexpr double kMinLatency = 1e-4;            // seconds
+constexpr double kPriorCompletionTokens = 200;
+constexpr double kMinLatency = 1e-4;  // seconds
 // Limit on the incarnations of peers. Beyond it, the one whose id sorts first
 // is removed.
 constexpr size_t kMaxPeerIncarnations = 64;
