--- a/daemon/endpoint_directory.h
+++ b/daemon/endpoint_directory.h
@@ -79,7 +79,8 @@
   void OnGone(std::function<void(const std::string& life)> callback) {
     on_gone_ = std::move(callback);
   }
-  // The name of the newest life known under an id (leverwick/endpoint_life.h).
+  // The name of the newest life known under an id
+  // (leverwick/endpoint_incarnation.h).
   std::string LifeOf(const std::string& id) const;
 
   // An answer of the endpoint said that it is leaving.
--- a/daemon/poison_exchange.h
+++ b/daemon/poison_exchange.h
@@ -43,7 +43,7 @@
   void OnSnapshot(const std::vector<KeyedRecord>& records) override;
   void OnRecord(const KeyedRecord& record) override;
   void OnRead(TimePoint as_of) override { heard_at_ = as_of; }
-  // What is known stays; SetInTouch follows from the time.
+  // What is known stays; SetConnectedToPeers follows from the time.
   void OnReadFailed(std::error_code error) override {}
 
   // `is_fresh`: the record was written just now, not some time ago.
--- a/daemon/relayed_request.h
+++ b/daemon/relayed_request.h
@@ -1,8 +1,8 @@
 // One request from its admission to its last byte.
 //
 // A request is sent to one endpoint at a time. What a try's end means for the
-// caller is AttemptLog's decision; this class carries it out: another try, the
-// endpoint's own answer, or one of ours. A stream's head is held until its
+// caller is AttemptHistory's decision; this class carries it out: another try,
+// the endpoint's own answer, or one of ours. A stream's head is held until its
 // first whole event, and a stream that breaks goes on elsewhere behind the
 // last whole event that was passed on.
 //
--- a/daemon/version_watch.cc
+++ b/daemon/version_watch.cc
@@ -31,8 +31,8 @@
 constexpr size_t kMostEndpoints = 1000;
 // A pace this many times the baseline's fastest tenth is slow, and an answer
 // that begins after this many times the baseline's slowest tenth. How often
-// sound and slow versions are beyond them: leverwick/guard.cc. With 2.5 for the
-// pace, 8 to 23 in 100 paces of engines twice as slow were.
+// sound and slow versions are beyond them: leverwick/regression_detector.cc.
+// With 2.5 for the pace, 8 to 23 in 100 paces of engines twice as slow were.
 constexpr double kSlowPace = 1.75;
 constexpr double kFastest = 0.1;
 constexpr double kSlowBegin = 1.5;
