--- a/leverwick/testing/decisions_test.cc
+++ b/leverwick/testing/decisions_test.cc
@@ -183,17 +183,17 @@
   std::normal_distribution<double> noise(0, 1);
   auto responses_until_trip = [&](double errors, double latency,
                                   double rating) {
-    RegressionDetector guard("a");
+    RegressionDetector detector("a");
     for (int i = 0; i < 3000; ++i) {
       Observation observation;
       observation.error = std::generate_canonical<double, 32>(random) < errors;
       observation.latency =
           Seconds(latency * std::exp(noise(random) * std::sqrt(0.1)));
-      guard.RecordResponse("r", RegressionLimits(), HealthyBaseline(),
-                           observation);
-      guard.RecordRating("r", RegressionLimits(), HealthyBaseline(),
-                         rating + noise(random) * std::sqrt(0.02));
-      if (guard.IsTripped("r", nullptr)) return i;
+      detector.RecordResponse("r", RegressionLimits(), HealthyBaseline(),
+                              observation);
+      detector.RecordRating("r", RegressionLimits(), HealthyBaseline(),
+                            rating + noise(random) * std::sqrt(0.02));
+      if (detector.IsTripped("r", nullptr)) return i;
     }
     return -1;
   };
--- a/leverwick/testing/endpoint_selector_test.cc
+++ b/leverwick/testing/endpoint_selector_test.cc
@@ -31,9 +31,9 @@
   SendPermits permits{{"box", "dc1"}, &limits};
   Backoffs backoffs;
   RecentRefusals refusals;
-  SendEligibility gates{{&reach, &backoffs, &slow_start, &permits}};
+  SendEligibility eligibility{{&reach, &backoffs, &slow_start, &permits}};
   EndpointSelector selector{
-      {&pool, &rollouts, &loads, &gates, &drained, &refusals},
+      {&pool, &rollouts, &loads, &eligibility, &drained, &refusals},
       RemoteCost(std::chrono::seconds(30)),
       "dc1",
       RegionMap({{"dc1", "north"}, {"dc2", "south"}})};
--- a/leverwick/testing/limit_simulation_test.cc
+++ b/leverwick/testing/limit_simulation_test.cc
@@ -103,7 +103,7 @@
     CHECK(worst.max_sends_in_window <=
           MaxSendsAllowed(scenario.limit_per_second));
     CHECK(worst.used_fraction >= 0.75);
-    // A request for which there is no permit is refused soon.
+    // A request for which there is no permit does not wait long for one.
     CHECK(worst.max_wait <= milliseconds(400));
   }
 }
--- a/leverwick/testing/read_sources_test.cc
+++ b/leverwick/testing/read_sources_test.cc
@@ -88,7 +88,7 @@
       for (const LogBox& box : MakeBoxes(count)) {
         if (random() % 3 == 0) centre.down.insert(box.name);
       }
-      // Longer than the maximum backoff: boxes that were down are tried again.
+      // Longer than the maximum back-off: boxes that were down are retried.
       now += 40 * kSecond;
       auto reads = centre.ResolveSources(now);
       if (reads.empty()) continue;
--- a/leverwick/testing/relay_decisions_test.cc
+++ b/leverwick/testing/relay_decisions_test.cc
@@ -185,11 +185,11 @@
 TEST_CASE("without a proof known keys serve only where withdrawal is lenient") {
   const KeyValidityPolicy& strict = KeyValidityPolicyFor(true);
   const KeyValidityPolicy& lenient = KeyValidityPolicyFor(false);
-  for (const KeyValidityPolicy* trust : {&strict, &lenient}) {
-    CHECK(AdmitKey(*trust, true, true) == Result::kOk);
-    CHECK(AdmitKey(*trust, false, true) == Result::kBadKey);
+  for (const KeyValidityPolicy* policy : {&strict, &lenient}) {
+    CHECK(AdmitKey(*policy, true, true) == Result::kOk);
+    CHECK(AdmitKey(*policy, false, true) == Result::kBadKey);
     // An unknown key may be newer than this box's table.
-    CHECK(AdmitKey(*trust, false, false) == Result::kStaleTable);
+    CHECK(AdmitKey(*policy, false, false) == Result::kStaleTable);
   }
   CHECK(AdmitKey(strict, true, false) == Result::kStaleTable);
   CHECK(AdmitKey(lenient, true, false) == Result::kOk);
--- a/leverwick/testing/slow_start_simulation.h
+++ b/leverwick/testing/slow_start_simulation.h
@@ -2,7 +2,7 @@
 // restored.
 //
 // Each box sends its callers' requests to the endpoint that has received the
-// fewest in the last second as far as the box knows: its own sends, and those
+// fewest in the last second, of those that the box counts: its own, and those
 // that other boxes of its data centre report with a delay. Restored endpoints
 // are cold and have received none, so all boxes prefer them. One of them is
 // also the preferred endpoint of a hot prompt. The simulation counts the
