--- a/leverwick/bills.h
+++ b/leverwick/bills.h
@@ -98,7 +98,7 @@
 
  private:
   struct Entries {
-    std::map<uint64_t, std::vector<Intent>> open;  // by attempt
+    std::map<uint64_t, std::vector<Intent>> open;  // by sequence
     std::map<uint64_t, BillLine> billed;
   };
   struct Incarnation {
--- a/leverwick/claims.cc
+++ b/leverwick/claims.cc
@@ -285,8 +285,8 @@
   } else if (found.request() != requested.request()) {
     result = Result::kKeyReused;
   } else if (found.state() == Claim::DONE) {
-    result = Result::kAnswerNotKept;  // the caller reads the stored response
-                                      // from `found`
+    // The caller reads the stored response from `found`.
+    result = Result::kAnswerNotKept;
   } else if (found.state() == Claim::RUNNING &&
              CreatedAt(found) + options_.max_request_duration > now) {
     result = Result::kInProgress;
--- a/leverwick/cusum_report_filter.cc
+++ b/leverwick/cusum_report_filter.cc
@@ -1,6 +1,6 @@
-// The reference follows a sum down, in each metric, and never up: a decrease
-// that speaks for the version is not reported by itself, but later growth then
-// counts from the lower value.
+// The reference follows a sum down, in each metric, and never up: a decrease,
+// which is in the version's favour, is not reported by itself, but later growth
+// then counts from the lower value.
 
 #include "leverwick/cusum_report_filter.h"
 
--- a/leverwick/endpoint_selector.cc
+++ b/leverwick/endpoint_selector.cc
@@ -52,9 +52,10 @@
   // go to the target version: that would raise its share of the requests above
   // the roll-out step.
   if (criteria.side == Side::kBaseline) {
-    EndpointCriteria open = criteria;
-    open.gates = SendEligibility::Scope::kIgnoreLimitsAndBackoffs;
-    if (!SelectOnSide(criteria.side, open, excluded, now).empty()) return "";
+    EndpointCriteria unlimited = criteria;
+    unlimited.gates = SendEligibility::Scope::kIgnoreLimitsAndBackoffs;
+    if (!SelectOnSide(criteria.side, unlimited, excluded, now).empty())
+      return "";
   }
   // If one version has no usable endpoints, the other one gets its requests.
   return SelectOnSide(Side::kAny, criteria, excluded, now);
@@ -109,11 +110,11 @@
   return facts_.gates->NeedsPermit(chosen, now) ? chosen : "";
 }
 
-bool EndpointSelector::AnyWithScope(SendEligibility::Scope gates,
+bool EndpointSelector::AnyWithScope(SendEligibility::Scope scope,
                                     const EndpointCriteria& criteria,
                                     TimePoint now) const {
   EndpointCriteria any = criteria;
-  any.gates = gates;
+  any.gates = scope;
   return !Select(any, now).empty();
 }
 
@@ -134,9 +135,10 @@
   auto visit = [&](const ListedEndpoint& endpoint) {
     listed = true;
     if (!IsEligible(endpoint, criteria)) return false;
-    nanoseconds time_until_open =
+    nanoseconds time_until_eligible =
         facts_.gates->TimeUntilEligible(endpoint, now);
-    earliest = std::min(time_until_open, earliest.value_or(time_until_open));
+    earliest =
+        std::min(time_until_eligible, earliest.value_or(time_until_eligible));
     return false;  // visits the endpoint without selecting it
   };
   auto no_cost = [](const ListedEndpoint&, bool) { return 0.0; };
--- a/leverwick/endpoint_selector.h
+++ b/leverwick/endpoint_selector.h
@@ -7,8 +7,8 @@
 // another data centre, and a penalty for data centres that appear partitioned.
 // During a roll-out, the request's side decides which of the two versions may
 // run it. An endpoint that was attempted before is selected again only if there
-// is no other. An endpoint that SendGates blocks, that is in a drained data
-// centre or that is outside the request's home regions is never selected.
+// is no other. An endpoint that SendEligibility blocks, that is in a drained
+// data centre or that is outside the request's home regions is never selected.
 //
 //   EndpointSelector selector(EndpointSelector::Facts{...}, remote_cost,
 //                             data_centre);
@@ -115,7 +115,7 @@
   // Returns whether all listed endpoints of the service run versions that were
   // found unhealthy.
   bool AllListedUnhealthy(const std::string& service) const;
-  bool AnyWithScope(SendEligibility::Scope gates,
+  bool AnyWithScope(SendEligibility::Scope scope,
                     const EndpointCriteria& criteria, TimePoint now) const;
   // Returns whether the endpoint is allowed by the drained data centres, the
   // health of its version and the request's home regions.
--- a/leverwick/engine_loads.cc
+++ b/leverwick/engine_loads.cc
@@ -68,8 +68,8 @@
            now - sent->second < kCacheRetention;
   };
   double uncached_tokens = 0;
-  bool all_cached =
-      true;  // a part is usable only if all earlier ones are cached
+  // A cached part is usable only if all earlier parts are cached.
+  bool all_cached = true;
   for (size_t i = 0; i < work.prompt->size(); ++i) {
     const PromptPart& part = (*work.prompt)[i];
     all_cached = all_cached && is_cached(part);
@@ -236,7 +236,7 @@
   Endpoint& endpoint = endpoints_[found->second.endpoint];
   endpoint.delay = std::max(DecayedDelay(endpoint, now), kFailureDelay);
   endpoint.delay_at = now;
-  // Its prefix cache may be lost.
+  // The endpoint may have lost its prefix cache.
   endpoint.cached_parts.clear();
   Failures& failures = failures_[data_centre];
   failures.endpoints.insert(found->second.endpoint);
--- a/leverwick/healthy_requests.h
+++ b/leverwick/healthy_requests.h
@@ -1,5 +1,5 @@
-// Records which requests have recently been answered by an endpoint that
-// survived them, by version of the service.
+// Records which requests have recently completed at an endpoint that survived
+// them, by version of the service.
 //
 // A popular request is in flight wherever an endpoint crashes, whichever
 // request caused the crash. Its earlier healthy runs distinguish it from a
--- a/leverwick/home_regions.h
+++ b/leverwick/home_regions.h
@@ -5,7 +5,7 @@
 // regions. The restriction applies to endpoints only: any box may accept a
 // request from its caller, and boxes do not forward requests to each other.
 //
-//   HomeRegions homes{&route.homes, &holder.homes};
+//   HomeRegions homes{&route.homes, &owner.homes};
 //   if (homes.Allows(regions.RegionFor(endpoint.data_centre))) ...
 
 #ifndef LEVERWICK_HOME_REGIONS_H_
--- a/leverwick/log_cache.cc
+++ b/leverwick/log_cache.cc
@@ -23,7 +23,7 @@
   tombstones_.clear();
   uint64_t offset = end - std::min<uint64_t>(end, records.size());
   for (const KeyedRecord& record : records) StoreRecord(offset++, record);
-  complete_from_ = end;  // keys deleted earlier are unknown here
+  complete_from_ = end;  // earlier tombstones may be missing
   end_ = end;
   as_of_ = as_of;
   has_snapshot_ = true;
--- a/leverwick/membership.h
+++ b/leverwick/membership.h
@@ -55,7 +55,7 @@
   void RecordAppliedOffset(uint32_t incarnation_hash, uint64_t next_offset);
 
   // Records the incarnations of this data centre that the platform lists as
-  // live. Used to tell a box that is gone from one that is silent.
+  // live. Used to distinguish a box that is gone from one that is silent.
   void RecordListedBoxes(const std::vector<std::string>& incarnations,
                          TimePoint now);
 
--- a/leverwick/planner.h
+++ b/leverwick/planner.h
@@ -1,4 +1,4 @@
-// Chooses the version that serves a request, and a second one that is asked if
+// Chooses the version that serves a request, and a second one that is used if
 // the first response is weak.
 //
 // Each organisation has a quality target, the mean rating it wants. The planner
@@ -40,14 +40,14 @@
   const Organisation* organisation = nullptr;
   uint32_t request_class = 0;
   int64_t prompt_tokens = 0;
-  int64_t max_tokens = 0;  // 0: not given
+  int64_t max_tokens = 0;  // 0: no limit
   bool streamed = false;
   double draw = 0;  // uniform in [0, 1): decides on exploration
 };
 
 struct Plan {
   const Version* first = nullptr;   // null: no version
-  const Version* second = nullptr;  // asked if the first response is weak
+  const Version* second = nullptr;  // used if the first response is weak
   double expected_cost = 0;
   double expected_quality = 0;
   std::string reason;  // one sentence, shown by `explain`
--- a/leverwick/poison_requests.cc
+++ b/leverwick/poison_requests.cc
@@ -1,8 +1,9 @@
-// Whether a request is quarantined is computed from all its known crashes after
-// each change; changes are rare, and there are at most kMaxRequests requests. A
-// crash is not attributed to one quarantined request in favour of another: a
-// popular request is in flight at every crash, and would hide the poison
-// request while no endpoint is left to show that the popular one is healthy.
+// Whether a request is quarantined is computed from all its recorded crashes
+// after each change; changes are rare, and there are at most kMaxRequests
+// requests. A crash that is explained by one quarantined request still counts
+// against all others that were running: a popular request is in flight at every
+// crash, and would hide the poison request while no endpoint is left to show
+// that the popular one is healthy.
 
 #include "leverwick/poison_requests.h"
 
@@ -74,9 +75,9 @@
   Request& request = requests_[digest];
   if (request.cleared.count(crash.endpoint) > 0) return false;
   auto& crashes = request.crashes;
-  for (Crash& known : crashes) {
-    if (known.endpoint != crash.endpoint) continue;
-    known.is_local = known.is_local || crash.is_local;
+  for (Crash& existing : crashes) {
+    if (existing.endpoint != crash.endpoint) continue;
+    existing.is_local = existing.is_local || crash.is_local;
     return false;
   }
   auto by_crash_time = [](const Crash& a, const Crash& b) {
@@ -137,11 +138,11 @@
 
 bool PoisonRequests::RecordLastSeen(const std::string& endpoint,
                                     const LastSeen& last_seen) {
-  LastSeen& known = last_seen_[endpoint];
-  known.is_local = known.is_local || last_seen.is_local;
+  LastSeen& existing = last_seen_[endpoint];
+  existing.is_local = existing.is_local || last_seen.is_local;
   // Repeated reports of the same event differ by their transit times.
-  if (last_seen.at - known.at < kDuplicateReportWindow) return false;
-  known.at = last_seen.at;
+  if (last_seen.at - existing.at < kDuplicateReportWindow) return false;
+  existing.at = last_seen.at;
   if (last_seen_.size() > kMaxLastSeen) last_seen_.erase(last_seen_.begin());
   bool may_affect_quarantine = false;
   for (auto& entry : requests_) {
@@ -218,7 +219,7 @@
   }
   bool crashed_version_listed =
       std::any_of(record.crashes.begin(), record.crashes.end(),
-                  [&](const Crash& s) { return is_listed(s.version); });
+                  [&](const Crash& crash) { return is_listed(crash.version); });
   verdict.kind = PoisonVerdict::Kind::kQuarantine;
   if (!connected_to_peers_) return verdict;
   TimePoint trial_time =
@@ -231,9 +232,9 @@
 
 void PoisonRequests::AddTrial(Request* request, TimePoint at, bool is_local) {
   // Repeated reports of the same trial differ by their transit times.
-  for (const Trial& known : request->trials) {
-    if (known.is_local == is_local &&
-        std::chrono::abs(known.at - at) < kTrialStagger) {
+  for (const Trial& existing : request->trials) {
+    if (existing.is_local == is_local &&
+        std::chrono::abs(existing.at - at) < kTrialStagger) {
       return;
     }
   }
--- a/leverwick/poison_requests.h
+++ b/leverwick/poison_requests.h
@@ -143,7 +143,7 @@
     TimePoint at{};
     bool is_local = false;  // sent by this box
   };
-  // The latest time at which an endpoint was known to be alive.
+  // The latest time at which an endpoint was seen alive.
   struct LastSeen {
     TimePoint at{};
     bool is_local = false;  // observed by this box
@@ -157,9 +157,9 @@
     bool quarantined = false;
   };
 
-  // Returns whether the crash was not known before.
+  // Returns whether the crash was not recorded before.
   bool AddCrash(const RequestDigest& digest, const Crash& crash);
-  // Clears all known crashes on the version up to `now`.
+  // Clears all recorded crashes on the version up to `now`.
   void ClearCrashes(Request* request, const std::string& version,
                     TimePoint now);
   // Clears the crash of one endpoint.
--- a/leverwick/read_sources.cc
+++ b/leverwick/read_sources.cc
@@ -11,8 +11,8 @@
 namespace leverwick {
 namespace {
 
-// Backoff after failures, doubled each time. A box that restarts is back within
-// seconds; one that stays away costs one attempt per maximum backoff.
+// Back-off after failures, doubled each time. A box that restarts is back
+// within seconds; one that stays away costs one attempt per maximum back-off.
 constexpr nanoseconds kMinBackoff = std::chrono::seconds(1);
 constexpr nanoseconds kMaxBackoff = std::chrono::seconds(16);
 
--- a/leverwick/read_sources.h
+++ b/leverwick/read_sources.h
@@ -58,7 +58,7 @@
   // Records a reply that was too old or lacked the requested records.
   void RecordStale(const std::string& name, TimePoint now);
 
-  // Ends the backoff of boxes with stale replies. Called when a read of the
+  // Ends the back-off of boxes with stale replies. Called when a read of the
   // store has shown that it has nothing newer.
   void ClearStale();
 
--- a/leverwick/regression_detector.cc
+++ b/leverwick/regression_detector.cc
@@ -186,8 +186,8 @@
 }
 
 // The sum of each incarnation is kept. A later incarnation of the same box
-// begins at zero; replacing the earlier sum by it would drop its score against
-// the subject, or raise the total by what spoke for it.
+// begins at zero; replacing the earlier sum by it would drop the positive or
+// negative score that the earlier incarnation has contributed to the total.
 void RegressionDetector::Merge(const std::vector<GuardSum>& sums) {
   std::lock_guard<std::mutex> lock(mutex_);
   std::set<std::string> changed;
--- a/leverwick/regression_detector.h
+++ b/leverwick/regression_detector.h
@@ -98,7 +98,7 @@
   // this box.
   void Merge(const GuardSum& sum) { Merge(std::vector<GuardSum>{sum}); }
   // Applies all sums before any subject is evaluated, since some of them may
-  // speak for it.
+  // lower its score.
   void Merge(const std::vector<GuardSum>& sums);
 
   // Trips the subject because another box has, or because the log says so.
@@ -117,7 +117,7 @@
   std::vector<GuardSum> own_sums() const;
   std::vector<RolloutTrip> trips() const;
 
-  // Forgets subjects that are not in `subjects`.
+  // Removes subjects that are not in `subjects`.
   void RetainOnly(const std::vector<std::string>& subjects);
 
  private:
--- a/leverwick/send_eligibility.h
+++ b/leverwick/send_eligibility.h
@@ -7,9 +7,9 @@
 // subject to these checks: first attempts, retries, escalations to a larger
 // model, and streams resumed on another endpoint.
 //
-//   SendEligibility gates({&reach, &backoffs, &slow_start, &permits});
-//   if (gates.IsEligible(endpoint, SendEligibility::Scope::kAll, now)) {
-//     gates.RecordSend(endpoint.address, now);
+//   SendEligibility eligibility({&reach, &backoffs, &slow_start, &permits});
+//   if (eligibility.IsEligible(endpoint, SendEligibility::Scope::kAll, now)) {
+//     eligibility.RecordSend(endpoint.address, now);
 //   }
 
 #ifndef LEVERWICK_SEND_ELIGIBILITY_H_
@@ -39,8 +39,8 @@
   // Selects the checks that apply.
   enum class Scope {
     kAll,
-    kAllowPermitRequest,  // a limit blocks only if no permit can be
-    // requested either
+    // A rate limit blocks only if no permit can be requested either.
+    kAllowPermitRequest,
     kIgnoreLimits,             // rate limits are not checked
     kIgnoreLimitsAndBackoffs,  // nor are back-offs requested by endpoints
   };
--- a/leverwick/service_rollouts.h
+++ b/leverwick/service_rollouts.h
@@ -132,7 +132,7 @@
   // reported to the other boxes: those of the target's share that run here on
   // the baseline. Once the first step is recorded, they include all that this
   // box serves or has served within the idle timeout. The caller reports them,
-  // and gives back with RequeueUnreportedPins those that could not be reported.
+  // and returns those that could not be reported with RequeueUnreportedPins.
   std::vector<uint64_t> TakeUnreportedPins(const std::string& service);
   void RequeueUnreportedPins(const std::string& service,
                              const std::string& target_version,
@@ -182,7 +182,7 @@
   // Returns the records of the steps that are due and not yet recorded.
   std::vector<RolloutRecord> DueRecords(TimePoint now) const;
 
-  // Forgets sessions that were idle for longer than the idle timeout.
+  // Removes sessions that were idle for longer than the idle timeout.
   void ExpireSessions(TimePoint now);
 
  private:
--- a/leverwick/slow_start.h
+++ b/leverwick/slow_start.h
@@ -15,7 +15,7 @@
 //
 //   SlowStart slow_start("box-1");
 //   slow_start.SetBoxes(others);
-//   slow_start.SetLimits(config.ColdLimits());
+//   slow_start.SetLimits(config.SlowStartLimits());
 //   slow_start.RecordWarmUp(endpoint, cold_for, now);
 //   if (slow_start.MaySend(listed, now)) slow_start.RecordSend(endpoint, now);
 //   slow_start.Expire(now);
