--- a/leverwick/bills.cc
+++ b/leverwick/bills.cc
@@ -1,8 +1,8 @@
 // A replication stream is ordered and starts a new generation with a full
 // snapshot after a loss. Until that snapshot is complete, the store also keeps
 // the records of the previous generation, so a sender that crashes meanwhile
-// loses nothing. Records that reached the log in the meantime are settled into
-// a second line with the same id, which the ledger drops.
+// loses nothing. If a peer settles a record that has reached the log in the
+// meantime, it appends a second line with the same id, which the ledger drops.
 
 #include "leverwick/bills.h"
 
--- a/leverwick/endpoint_pool.cc
+++ b/leverwick/endpoint_pool.cc
@@ -215,27 +215,27 @@
   auto endpoints = shard.targets.find(target);
   if (endpoints == shard.targets.end()) return Choice();
   const Endpoint* preferred = nullptr;
-  const Endpoint* least = nullptr;
-  uint64_t highest = 0;
+  const Endpoint* least_loaded = nullptr;
+  uint64_t highest_weight = 0;
   double least_load = 0;
   for (const Endpoint* endpoint :
        FindCandidates(endpoints->second, excluded, now)) {
     double load = ComputeLoad(*endpoint, now);
-    if (least == nullptr || load < least_load) {
-      least = endpoint;
+    if (least_loaded == nullptr || load < least_load) {
+      least_loaded = endpoint;
       least_load = load;
     }
-    uint64_t preference = RendezvousWeight(endpoint->listed.address, affinity);
-    if (preferred != nullptr && preference <= highest) continue;
+    uint64_t weight = RendezvousWeight(endpoint->listed.address, affinity);
+    if (preferred != nullptr && weight <= highest_weight) continue;
     preferred = endpoint;
-    highest = preference;
+    highest_weight = weight;
   }
-  if (least == nullptr) return Choice();
+  if (least_loaded == nullptr) return Choice();
   double preferred_load = ComputeLoad(*preferred, now);
   if (preferred_load <= least_load + kAffinityLoadSlack) {
     return Choice{preferred->listed.address, preferred_load};
   }
-  return Choice{least->listed.address, least_load};
+  return Choice{least_loaded->listed.address, least_load};
 }
 
 EndpointPool::Choice EndpointPool::PickLeastLoaded(
@@ -264,28 +264,27 @@
   auto endpoints = shard.targets.find(target);
   if (endpoints == shard.targets.end()) return Choice();
   auto candidates = FindCandidates(endpoints->second, excluded, now, allowed);
-  std::vector<uint64_t> preferences;
-  preferences.reserve(candidates.size());
+  std::vector<uint64_t> weights;
+  weights.reserve(candidates.size());
   for (const Endpoint* endpoint : candidates) {
-    preferences.push_back(RendezvousWeight(endpoint->listed.address, affinity));
+    weights.push_back(RendezvousWeight(endpoint->listed.address, affinity));
   }
-  uint64_t highest = 0;
-  for (uint64_t preference : preferences) {
-    highest = std::max(highest, preference);
+  uint64_t highest_weight = 0;
+  for (uint64_t weight : weights) {
+    highest_weight = std::max(highest_weight, weight);
   }
   const Endpoint* chosen = nullptr;
-  double least = 0;
-  uint64_t chosen_preference = 0;
+  double lowest_cost = 0;
+  uint64_t chosen_weight = 0;
   for (size_t i = 0; i < candidates.size(); ++i) {
     double candidate_cost =
-        cost(candidates[i]->listed, preferences[i] == highest);
-    bool better =
-        chosen == nullptr || candidate_cost < least ||
-        (candidate_cost == least && preferences[i] > chosen_preference);
+        cost(candidates[i]->listed, weights[i] == highest_weight);
+    bool better = chosen == nullptr || candidate_cost < lowest_cost ||
+                  (candidate_cost == lowest_cost && weights[i] > chosen_weight);
     if (!better) continue;
     chosen = candidates[i];
-    least = candidate_cost;
-    chosen_preference = preferences[i];
+    lowest_cost = candidate_cost;
+    chosen_weight = weights[i];
   }
   if (chosen == nullptr) return Choice();
   return Choice{chosen->listed.address, ComputeLoad(*chosen, now)};
--- a/leverwick/fair_queue.cc
+++ b/leverwick/fair_queue.cc
@@ -137,13 +137,13 @@
 
 uint64_t FairQueue::FindShedVictim() const {
   uint64_t victim = 0;
-  int min_limit = 0;
+  int lowest_priority = 0;
   for (auto waiter = by_virtual_finish_.rbegin();
        waiter != by_virtual_finish_.rend(); ++waiter) {
     int priority = waiters_.at(waiter->second).priority;
-    if (victim != 0 && priority >= min_limit) continue;
+    if (victim != 0 && priority >= lowest_priority) continue;
     victim = waiter->second;
-    min_limit = priority;
+    lowest_priority = priority;
   }
   return victim;
 }
--- a/leverwick/fields.cc
+++ b/leverwick/fields.cc
@@ -45,8 +45,8 @@
 
 bool ParseInteger(std::string_view text, int64_t* number) {
   double value = 0;
-  constexpr double kMaxExactInteger =
-      9007199254740992.0;  // 2^53: doubles above it skip integers
+  // 2^53; above it, doubles can't represent every integer.
+  constexpr double kMaxExactInteger = 9007199254740992.0;
   if (!ParseNumber(text, &value)) return false;
   if (value != std::floor(value) || std::fabs(value) > kMaxExactInteger)
     return false;
@@ -118,9 +118,10 @@
   const Reflection* reflection = message->GetReflection();
   auto* stored =
       static_cast<Duration*>(reflection->MutableMessage(message, &field));
-  auto whole = std::chrono::duration_cast<std::chrono::seconds>(duration);
-  stored->set_seconds(whole.count());
-  stored->set_nanos(static_cast<int32_t>((duration - whole).count()));
+  auto whole_seconds =
+      std::chrono::duration_cast<std::chrono::seconds>(duration);
+  stored->set_seconds(whole_seconds.count());
+  stored->set_nanos(static_cast<int32_t>((duration - whole_seconds).count()));
 }
 
 void StoreValue(Message* message, const FieldDescriptor& field,
--- a/leverwick/healthy_requests.cc
+++ b/leverwick/healthy_requests.cc
@@ -36,8 +36,9 @@
   uint64_t key = ComputeKey(request, version);
   auto in_current = current_.find(key);
   auto in_previous = previous_.find(key);
-  bool known = in_current != current_.end() || in_previous != previous_.end();
-  if (!known) return false;
+  bool is_recorded =
+      in_current != current_.end() || in_previous != previous_.end();
+  if (!is_recorded) return false;
   int& crashes =
       in_current != current_.end() ? in_current->second : in_previous->second;
   if (++crashes > kMaxExcusedCrashes) {
--- a/leverwick/planner.cc
+++ b/leverwick/planner.cc
@@ -63,9 +63,9 @@
     const std::vector<const Version*>& versions) const {
   std::vector<Candidate> candidates;
   for (const Version* version : versions) {
-    ResponseEstimate outlook =
+    ResponseEstimate estimate =
         estimates_->EstimateResponse(*version, request.request_class);
-    double completion = outlook.completion_tokens;
+    double completion = estimate.completion_tokens;
     if (request.max_tokens > 0) {
       completion =
           std::min(completion, static_cast<double>(request.max_tokens));
@@ -73,7 +73,7 @@
     double cost = kPerMillion * (static_cast<double>(request.prompt_tokens) *
                                      version->prompt_price() +
                                  completion * version->completion_price());
-    candidates.push_back(Candidate{version, outlook, cost});
+    candidates.push_back(Candidate{version, estimate, cost});
   }
   return candidates;
 }
--- a/leverwick/recent_refusals.h
+++ b/leverwick/recent_refusals.h
@@ -27,7 +27,7 @@
 class RecentRefusals {
  public:
   // A full endpoint usually has capacity again shortly; one that continues to
-  // refuse is probed about once per second.
+  // refuse is probed at most every 1.6 s.
   static constexpr milliseconds kInitialPenalty{50};
   static constexpr milliseconds kMaxPenalty{1600};
 
--- a/leverwick/recent_runs.cc
+++ b/leverwick/recent_runs.cc
@@ -15,9 +15,9 @@
   run.endpoint = endpoint;
   run.version = version;
   run.started_at = now;
-  uint64_t number = next_run_++;
-  runs_by_endpoint_[endpoint].emplace(number, std::move(run));
-  return number;
+  uint64_t id = next_run_++;
+  runs_by_endpoint_[endpoint].emplace(id, std::move(run));
+  return id;
 }
 
 void RecentRuns::Discard(const std::string& endpoint, uint64_t run) {
--- a/leverwick/send_eligibility.cc
+++ b/leverwick/send_eligibility.cc
@@ -37,8 +37,8 @@
 
 nanoseconds SendEligibility::TimeUntilReachable(const ListedEndpoint& endpoint,
                                                 Scope, TimePoint now) const {
-  bool may_try = dependencies_.reach->AllowsAttempt(endpoint.address, now);
-  return may_try ? nanoseconds(0) : Reachability::kProbeInterval;
+  bool may_attempt = dependencies_.reach->AllowsAttempt(endpoint.address, now);
+  return may_attempt ? nanoseconds(0) : Reachability::kProbeInterval;
 }
 
 nanoseconds SendEligibility::TimeUntilBackoffEnds(
--- a/leverwick/service_config.cc
+++ b/leverwick/service_config.cc
@@ -74,11 +74,12 @@
 
 std::string PickService(const ServiceRoute& route, double draw) {
   double total = 0;
-  for (const WeightedService& share : route.services) total += share.weight;
+  for (const WeightedService& candidate : route.services)
+    total += candidate.weight;
   double remaining = draw * total;
-  for (const WeightedService& share : route.services) {
-    remaining -= share.weight;
-    if (remaining < 0) return share.service;
+  for (const WeightedService& candidate : route.services) {
+    remaining -= candidate.weight;
+    if (remaining < 0) return candidate.service;
   }
   return route.services.empty() ? "" : route.services.back().service;
 }
--- a/leverwick/table.cc
+++ b/leverwick/table.cc
@@ -298,8 +298,8 @@
 void Table::RebuildKeyIndex() {
   organisation_by_key_hash_.clear();
   for (const Organisation* organisation : organisations()) {
-    for (const std::string& key : organisation->key_sha256()) {
-      organisation_by_key_hash_[key] = organisation->name();
+    for (const std::string& key_hash : organisation->key_sha256()) {
+      organisation_by_key_hash_[key_hash] = organisation->name();
     }
   }
 }
@@ -390,11 +390,11 @@
 }
 
 std::vector<const Version*> Table::VersionsFor(const std::string& model) const {
-  std::vector<const Version*> chosen;
+  std::vector<const Version*> matching;
   for (const Version* version : versions()) {
-    if (version->model() == model) chosen.push_back(version);
+    if (version->model() == model) matching.push_back(version);
   }
-  return chosen;
+  return matching;
 }
 
 RolloutProgress Table::ProgressFor(const std::string& rollout) const {
--- a/leverwick/version_estimates.cc
+++ b/leverwick/version_estimates.cc
@@ -13,7 +13,7 @@
 namespace {
 
 constexpr double kPriorRatings = 8;
-constexpr double kPriorAnswers = 20;
+constexpr double kPriorResponses = 20;
 constexpr double kPriorWeakShare = 0.3;
 constexpr double kPriorCompletionTokens = 200;
 constexpr double kMinLatency = 1e-4;  // seconds
@@ -21,8 +21,8 @@
 // is removed.
 constexpr size_t kMaxPeerIncarnations = 64;
 constexpr Seconds kMinSumsInterval(5.0);
-constexpr double kSumsBytesPerSecond =
-    1000;  // sent by one box, to all receivers
+// Sent by one box, to all receivers together.
+constexpr double kSumsBytesPerSecond = 1000;
 
 void AddTo(const VersionSum& from, VersionSum* to) {
   to->set_answers(to->answers() + from.answers());
@@ -67,11 +67,11 @@
   return (sum + prior * prior_count) / (count + prior_count);
 }
 
-std::string KeyOf(const Version& version) {
+std::string VersionKeyFor(const Version& version) {
   return VersionKey(version.model(), version.version());
 }
 
-std::string KeyOf(const VersionSum& sum) {
+std::string VersionKeyFor(const VersionSum& sum) {
   return VersionKey(sum.model(), sum.version());
 }
 
@@ -146,7 +146,7 @@
   peer_total_.clear();
   for (const auto& peer : peer_sums_) {
     for (const VersionSum& sum : peer.second.sums()) {
-      AddTo(sum, &peer_total_[Key(KeyOf(sum), sum.request_class())]);
+      AddTo(sum, &peer_total_[Key(VersionKeyFor(sum), sum.request_class())]);
     }
   }
 }
@@ -201,7 +201,7 @@
 
 ResponseEstimate VersionEstimates::EstimateResponse(
     const Version& version, uint32_t request_class) const {
-  VersionStats stats = StatsFor(KeyOf(version), request_class);
+  VersionStats stats = StatsFor(VersionKeyFor(version), request_class);
   double succeeded = stats.answers - stats.errors;
   double prior = version.prior_quality();
   ResponseEstimate estimate;
@@ -213,10 +213,10 @@
       MeanWithPrior(stats.confident_rating_mean * stats.confident_ratings,
                     stats.confident_ratings, prior, kPriorRatings);
   estimate.weak_share =
-      MeanWithPrior(stats.weak, succeeded, kPriorWeakShare, kPriorAnswers);
+      MeanWithPrior(stats.weak, succeeded, kPriorWeakShare, kPriorResponses);
   estimate.completion_tokens =
       MeanWithPrior(stats.completion_tokens_mean * succeeded, succeeded,
-                    kPriorCompletionTokens, kPriorAnswers);
+                    kPriorCompletionTokens, kPriorResponses);
   return estimate;
 }
 
