--- a/leverwick/fair_queue.h
+++ b/leverwick/fair_queue.h
@@ -58,8 +58,9 @@
             const FairQueueOptions& options = {})
       : capacity_(capacity), max_waiting_(max_waiting), options_(options) {}
 
-  // Submits a request with a cost of `cost` tokens. If a waiter is shed to make
-  // room, its id is added to `shed`.
+  // Submits a request with a cost of `cost` tokens. A request with a higher
+  // `priority` is more important. If a waiter is shed to make room, its id is
+  // added to `shed`.
   Ticket Submit(const std::string& organisation, double weight, int priority,
                 double cost, std::vector<uint64_t>* shed);
 
--- a/leverwick/testing/backoff_simulation.h
+++ b/leverwick/testing/backoff_simulation.h
@@ -209,11 +209,11 @@
     bool is_counted = now_ >= kBegin + scenario_.refuse_from &&
                       now_ < kBegin + scenario_.refuse_until;
     if (is_counted) ++requests_while_refusing_;
-    size_t tried_endpoint = endpoints_.size();
+    size_t attempted_endpoint = endpoints_.size();
     for (int attempt = 0; attempt < kMaxAttempts; ++attempt) {
-      size_t endpoint = ChooseEndpoint(box, tried_endpoint);
+      size_t endpoint = ChooseEndpoint(box, attempted_endpoint);
       if (endpoint == endpoints_.size()) break;
-      tried_endpoint = endpoint;
+      attempted_endpoint = endpoint;
       if (SendTo(box, endpoint)) return;
     }
     if (is_counted) ++rejected_while_refusing_;
@@ -233,12 +233,13 @@
     retries_.insert({now_ + soonest + FromSeconds(jitter_seconds), box});
   }
 
-  size_t ChooseEndpoint(size_t box, size_t tried_endpoint) {
+  size_t ChooseEndpoint(size_t box, size_t attempted_endpoint) {
     size_t best = endpoints_.size();
     double min_load = 0;
     for (size_t i = 0; i < endpoints_.size(); ++i) {
-      if (i == tried_endpoint || policies_[box]->TimeUntilSendAllowed(
-                                     EndpointName(i), now_) > nanoseconds(0))
+      if (i == attempted_endpoint ||
+          policies_[box]->TimeUntilSendAllowed(EndpointName(i), now_) >
+              nanoseconds(0))
         continue;
       double tie = std::uniform_real_distribution<>(0, 0.5)(random_);
       double load = reported_loads_[i] + sent_since_report_[{box, i}] + tie;
--- a/leverwick/testing/decisions_test.cc
+++ b/leverwick/testing/decisions_test.cc
@@ -69,19 +69,19 @@
   const Table& table = site.table();
   const Organisation& acme = *table.FindOrganisation("acme");
   const Version& from = *table.FindVersion("swift", "1");
-  int sessions_taken = 0;
+  int sessions_on_target = 0;
   bool tripped = false;
   auto is_tripped = [&tripped](const std::string&) { return tripped; };
   const Rollout* applied = nullptr;
   for (int i = 0; i < 5000; ++i) {
-    sessions_taken += ApplyRollouts(table, acme, from, "s" + std::to_string(i),
-                                    is_tripped, &applied) != nullptr
-                          ? 1
-                          : 0;
+    sessions_on_target +=
+        ApplyRollouts(table, acme, from, "s" + std::to_string(i), is_tripped,
+                      &applied) != nullptr
+            ? 1
+            : 0;
   }
-  CHECK(sessions_taken > 900);
-  CHECK(sessions_taken < 1100);
-  // The organisation globex may not use version 2.
+  CHECK(sessions_on_target > 900);
+  CHECK(sessions_on_target < 1100);
   const Organisation& globex = *table.FindOrganisation("globex");
   tripped = true;
   for (int i = 0; i < 200; ++i) {
@@ -89,6 +89,7 @@
     CHECK(ApplyRollouts(table, acme, from, id, is_tripped, &applied) ==
           nullptr);
   }
+  // The organisation globex may not use version 2.
   tripped = false;
   for (int i = 0; i < 200; ++i) {
     std::string id = "s" + std::to_string(i);
@@ -114,11 +115,11 @@
   std::mt19937 random(5);
   std::shuffle(sent.begin(), sent.end(), random);
   for (const LifeSums& sums : sent) merged.MergePeerSums(sums);
-  VersionStats view = merged.StatsFor("swift@1", 0);
-  CHECK(view.answers == 30);
-  CHECK(view.ratings == 30);
-  CHECK(view.rating_mean == doctest::Approx(0.5));
-  CHECK(view.completion_tokens_mean == doctest::Approx(10));
+  VersionStats stats = merged.StatsFor("swift@1", 0);
+  CHECK(stats.answers == 30);
+  CHECK(stats.ratings == 30);
+  CHECK(stats.rating_mean == doctest::Approx(0.5));
+  CHECK(stats.completion_tokens_mean == doctest::Approx(10));
 }
 
 TEST_CASE("the planner meets the quality target at a lower cost") {
@@ -167,15 +168,15 @@
 }
 
 VersionStats HealthyBaseline() {
-  VersionStats view;
-  view.answers = 1000;
-  view.errors = 10;
-  view.log_latency_mean = std::log(0.5);
-  view.log_latency_variance = 0.1;
-  view.ratings = 500;
-  view.rating_mean = 0.85;
-  view.rating_variance = 0.02;
-  return view;
+  VersionStats stats;
+  stats.answers = 1000;
+  stats.errors = 10;
+  stats.log_latency_mean = std::log(0.5);
+  stats.log_latency_variance = 0.1;
+  stats.ratings = 500;
+  stats.rating_mean = 0.85;
+  stats.rating_variance = 0.02;
+  return stats;
 }
 
 TEST_CASE("the canary check trips on regressions only") {
@@ -217,16 +218,16 @@
   }
   CHECK(!a.IsTripped("r", nullptr));
   for (const GuardSum& sum : b.own_sums()) a.Merge(sum);
-  std::string why;
-  CHECK(a.IsTripped("r", &why));
-  CHECK(why == "more errors");
+  std::string reason;
+  CHECK(a.IsTripped("r", &reason));
+  CHECK(reason == "more errors");
   Observation good;
   good.latency = Seconds(0.5);
   for (int i = 0; i < 1000; ++i) {
     a.RecordResponse("r", RegressionLimits(), HealthyBaseline(), good);
   }
   CHECK(a.IsTripped("r", nullptr));
-  b.Trip("r", "told");
+  b.Trip("r", "reported");
   CHECK(b.IsTripped("r", nullptr));
 }
 
--- a/leverwick/testing/endpoint_selector_test.cc
+++ b/leverwick/testing/endpoint_selector_test.cc
@@ -182,7 +182,7 @@
 }
 
 TEST_CASE(
-    "when slow start blocks all endpoints, retry-after is when one opens") {
+    "when slow start blocks all endpoints, retry-after is when it admits one") {
   Site site;
   site.slow_start.SetBoxes({});
   site.slow_start.SetLimits({{"service", {2, std::chrono::seconds(3)}}});
@@ -197,7 +197,7 @@
   CHECK(site.selector.Select(criteria, later).empty());
   CHECK(site.selector.RetryAfter(criteria, later) == milliseconds(700));
   CHECK(site.selector.Select(criteria, later + milliseconds(700)) == "a");
-  // A warm endpoint gets what the cold one must not.
+  // A warm endpoint gets the requests that the cold one must not get.
   site.pool.SetListed({Listed("a", "dc1"), Listed("b", "dc2")}, kStart);
   CHECK(site.selector.Select(criteria, later) == "b");
 }
@@ -269,7 +269,7 @@
   }
   EndpointCriteria criteria = MakeCriteria(nullptr, 0);
   criteria.side = ServiceRollouts::Side::kBaseline;
-  // Not the newest target, which is being rolled back.
+  // It is not v1, the newest target, which is being rolled back.
   CHECK(site.selector.Select(criteria, kStart) == "v2");
   // A healthy version gets all requests as soon as it is listed.
   endpoints.push_back(Listed("v0", "dc1"));
@@ -278,7 +278,7 @@
   for (criteria.affinity = 0; criteria.affinity < 20; ++criteria.affinity) {
     CHECK(site.selector.Select(criteria, kStart) == "v0");
   }
-  // Even while it is unreachable.
+  // No unhealthy version is selected, even while v0 is unreachable.
   site.reach.RecordTimeout("v0", kStart);
   site.reach.RecordTimeout("v0", kStart);
   CHECK(site.selector.Select(criteria, kStart).empty());
@@ -365,7 +365,7 @@
   TimePoint during = kStart + milliseconds(2999);
   CHECK(site.selector.Select(criteria, kStart) == "b");
   CHECK(site.selector.Select(criteria, during) == "b");
-  // Not even for a second attempt.
+  // A second attempt does not go there either.
   criteria.attempted = {"a", "b"};
   criteria.last_attempted = "b";
   CHECK(site.selector.Select(criteria, during).empty());
--- a/leverwick/testing/membership_test.cc
+++ b/leverwick/testing/membership_test.cc
@@ -210,8 +210,7 @@
   membership.RecordHeartbeat(MakeMember("d"), 1, true, At(0.1));
   CHECK(IncarnationsOf(membership.ProposeChange(false, At(0.2))) ==
         std::vector<std::string>{"a", "b", "c"});
-  // A stopping box adds nobody, and members that fell silent meanwhile are not
-  // added.
+  // A stopping box adds no box, and a box that has fallen silent is not added.
   CHECK(IncarnationsOf(membership.ProposeChange(true, At(0.2))).empty());
   membership.Tick(roster, At(1));
   membership.RecordHeartbeat(MakeMember("c"), 1, false, At(1.9));
@@ -242,8 +241,7 @@
   CHECK(IncarnationsOf(membership.ProposeChange(false, At(4.2))).size() == 2);
 }
 
-TEST_CASE(
-    "a box that was paused adds no box that it heard from before the pause") {
+TEST_CASE("a paused box adds no box whose heartbeats came before the pause") {
   Membership membership(MakeOptions("a"));
   membership.Tick(MakeRoster(1, {"a"}), At(0));
   membership.RecordHeartbeat(MakeMember("b"), 1, false, At(0.1));
--- a/leverwick/testing/poison_simulation_test.cc
+++ b/leverwick/testing/poison_simulation_test.cc
@@ -66,7 +66,8 @@
 // All four endpoints crash within half a second, so that their crashes count as
 // fewer. After the restart three attempts are sent at once, and one trial
 // later.
-TEST_CASE("few endpoints that end at one moment get a poison request no more") {
+TEST_CASE(
+    "four endpoints that crash together soon get no more poison requests") {
   PoisonSimulationConfig config;
   config.boxes = 2;
   config.endpoints = 4;
--- a/leverwick/testing/read_sources_test.cc
+++ b/leverwick/testing/read_sources_test.cc
@@ -116,7 +116,7 @@
   CHECK(readers_by_source.begin()->first == "box-0");
 }
 
-TEST_CASE("repeated failures of a box double its backoff up to the maximum") {
+TEST_CASE("repeated failures of a box double its back-off up to the maximum") {
   std::vector<LogBox> boxes = MakeBoxes(2);
   ReadSources sources(boxes[1], 1);
   sources.SetBoxes(boxes);
--- a/leverwick/testing/relay_decisions_test.cc
+++ b/leverwick/testing/relay_decisions_test.cc
@@ -81,16 +81,16 @@
   for (int round = 0; round < 2000; ++round) {
     bool repeatable = random() % 2;
     int max_attempts = 1 + static_cast<int>(random() % 3);
-    AttemptHistory log(repeatable, max_attempts);
+    AttemptHistory history(repeatable, max_attempts);
     bool may_have_run = false;
     int sent = 0;
-    for (int dispatch = 0; dispatch < 8; ++dispatch) {
-      log.RecordAttempt();
+    for (int attempt = 0; attempt < 8; ++attempt) {
+      history.RecordAttempt();
       Outcome outcome = outcomes[random() % 4];
       if (outcome != Outcome::kNotSent) ++sent;
       may_have_run = may_have_run || outcome == Outcome::kFailed ||
                      outcome == Outcome::kBroken;
-      NextStep step = log.DecideNextStep(outcome, random() % 4 > 0);
+      NextStep step = history.DecideNextStep(outcome, random() % 4 > 0);
       CHECK(sent <= max_attempts);
       if (step == NextStep::kRetry) {
         CHECK((repeatable || !may_have_run));
@@ -151,14 +151,14 @@
 TEST_CASE("retries that improve responses leave one for failed requests") {
   using Purpose = RetryBudget::Purpose;
   RetryBudget budget(0.5, 2, 5);
-  double min_level = budget.available();
+  double min_available = budget.available();
   int improved = 0;
   for (int i = 0; i < 100; ++i) {
     budget.RecordRequest();
     improved += budget.TryConsume(Purpose::kBetterResponse);
-    min_level = std::min(min_level, budget.available());
+    min_available = std::min(min_available, budget.available());
   }
-  CHECK(min_level >= 1);
+  CHECK(min_available >= 1);
   CHECK(improved >= 50);
   CHECK(budget.TryConsume(Purpose::kFirstResponse));
 }
@@ -176,7 +176,7 @@
   CHECK_FALSE(cascade.IsWeak(0.6));
   for (int i = 0; i < 100; ++i) cascade.RecordConfidence(route.name, 0, 0.1);
   CHECK(cascade.ChooseFirstModel(route, &service, 0.5) == 2);
-  // Some requests still try it, so that an improvement is noticed.
+  // A few requests still go to it first, so that an improvement is noticed.
   CHECK(cascade.ChooseFirstModel(route, &service, 0.01) == 0);
   for (int i = 0; i < 400; ++i) cascade.RecordConfidence(route.name, 0, 0.9);
   CHECK(cascade.ChooseFirstModel(route, &service, 0.5) == 0);
--- a/leverwick/testing/rollout_sessions_test.cc
+++ b/leverwick/testing/rollout_sessions_test.cc
@@ -25,8 +25,8 @@
 constexpr milliseconds kDuration{24000};
 constexpr int kBoxes = 60;
 constexpr int kSessions = 6000;
-// Maximum number of requests that run on another version than the session's
-// previous one: the users' bound.
+// Maximum number of requests that run on another version than the previous
+// request of their session; users require this bound.
 constexpr int kMaxChanged = 3;
 
 class SimulatedFleet {
@@ -57,8 +57,8 @@
     explicit Box(const RolloutOptions& options) : rollouts(options) {}
     ServiceRollouts rollouts;
     milliseconds lag{0};           // until a record reaches this box
-    TimePoint received_at{};       // the last record
-    TimePoint target_listed_at{};  // its endpoints
+    TimePoint received_at{};       // of the last record
+    TimePoint target_listed_at{};  // when its endpoints are listed here
   };
 
   struct Event {
--- a/leverwick/testing/service_rollouts_test.cc
+++ b/leverwick/testing/service_rollouts_test.cc
@@ -20,8 +20,8 @@
 
 std::string SessionName(int i) { return "session-" + std::to_string(i); }
 
-// The first step is recorded, and this box has applied everything up to it. The
-// settling time is over at SettledAt.
+// Records the first step, with everything up to it applied, so that the
+// settling time ends at SettledAt.
 void Settle(ServiceRollouts* rollouts, TimePoint recorded_at) {
   rollouts->ApplyRecord(At(RolloutStep::kCanary), recorded_at);
   rollouts->RecordSyncedUpTo(recorded_at);
--- a/leverwick/testing/slow_start_simulation.h
+++ b/leverwick/testing/slow_start_simulation.h
@@ -58,7 +58,6 @@
   virtual void RecordSend(size_t box, size_t endpoint, TimePoint now) = 0;
 };
 
-// No limit.
 class UnlimitedSends : public ColdSendPolicy {
  public:
   bool MaySend(size_t, size_t, size_t, TimePoint) override { return true; }
