--- a/leverwick/testing/endpoint_limits_test.cc
+++ b/leverwick/testing/endpoint_limits_test.cc
@@ -61,7 +61,7 @@
   CHECK(limits.Find("a")->requests_per_second == 3);
 }
 
-TEST_CASE("a limit does not expire but is forgotten with its endpoint") {
+TEST_CASE("a limit does not expire but is discarded with its endpoint") {
   EndpointLimits limits;
   limits.RecordLimit("a", 2, At(0));
   limits.Expire(At(3600 * 1000));
--- a/leverwick/testing/fair_queue_test.cc
+++ b/leverwick/testing/fair_queue_test.cc
@@ -174,10 +174,11 @@
   options.reserve = 0.2;
   options.overcommit = 0.25;
   FairQueue queue(20, 30, options);
-  // Ten organisations of equal weight: the fair share is two requests.
+  // Ten organisations of equal weight: the fair share is two requests. An
+  // organisation counts from its first request on.
   for (int i = 0; i < 9; ++i) {
-    auto known = queue.Submit("small" + std::to_string(i), 1, 5, 1, &shed);
-    queue.Finish(known.id);
+    auto ticket = queue.Submit("small" + std::to_string(i), 1, 5, 1, &shed);
+    queue.Finish(ticket.id);
   }
   for (int i = 0; i < 100; ++i) queue.Submit("flood", 1, 5, 100, &shed);
   CHECK(queue.running() == 16);
--- a/leverwick/testing/membership_test.cc
+++ b/leverwick/testing/membership_test.cc
@@ -267,8 +267,9 @@
   }
   REQUIRE(!changing.empty());
   Membership membership(MakeOptions("box0"));
-  auto beat = [&](uint64_t epoch, const std::vector<std::string>& incarnations,
-                  double from, double until) {
+  auto send_heartbeats = [&](uint64_t epoch,
+                             const std::vector<std::string>& incarnations,
+                             double from, double until) {
     Roster roster = MakeRoster(epoch, incarnations);
     for (double at = from; at < until; at += 0.5) {
       membership.Tick(roster, At(at));
@@ -279,8 +280,8 @@
       }
     }
   };
-  beat(1, few, 0, 2);
-  beat(2, all, 2, 10);
+  send_heartbeats(1, few, 0, 2);
+  send_heartbeats(2, all, 2, 10);
   membership.Tick(MakeRoster(3, few), At(10));
   CHECK(!membership.ProposeChange(false, At(10.1)).has_value());
 }
--- a/leverwick/testing/rate_limiter_test.cc
+++ b/leverwick/testing/rate_limiter_test.cc
@@ -131,8 +131,8 @@
       }
       double sum = 0;
       for (auto& each : boxes) {
-        bool holds = each->alive && each->limiter.epoch() > 0;
-        if (holds) sum += each->limiter.ShareFor("acme");
+        bool has_share = each->alive && each->limiter.epoch() > 0;
+        if (has_share) sum += each->limiter.ShareFor("acme");
       }
       INFO("seed " << seed << " step " << step);
       REQUIRE(sum <= 1 + 1e-9);
--- a/leverwick/testing/replication_stream_test.cc
+++ b/leverwick/testing/replication_stream_test.cc
@@ -137,13 +137,13 @@
   // unappended is held by the receiver.
   bool HasAcknowledged() const {
     IntentStore::Records records = store_.RecordsFor(kIncarnation);
-    std::set<uint64_t> known;
-    for (const auto& entry : records.open) known.insert(entry.first);
-    for (const BillLine& line : records.billed) known.insert(line.sequence());
+    std::set<uint64_t> held;
+    for (const auto& entry : records.open) held.insert(entry.first);
+    for (const BillLine& line : records.billed) held.insert(line.sequence());
     for (uint64_t sequence : acknowledged_) {
-      bool over = expected_.open.count(sequence) == 0 &&
-                  expected_.billed.count(sequence) == 0;
-      if (!over && known.count(sequence) == 0) return false;
+      bool is_appended = expected_.open.count(sequence) == 0 &&
+                         expected_.billed.count(sequence) == 0;
+      if (!is_appended && held.count(sequence) == 0) return false;
     }
     return true;
   }
--- a/leverwick/testing/slow_start_test.cc
+++ b/leverwick/testing/slow_start_test.cc
@@ -11,7 +11,7 @@
 // Requests per second that a simulated cold endpoint sustains.
 constexpr double kRatePerSecond = 13;
 // More requests per second than this crash a simulated cold endpoint.
-constexpr size_t kBreakingRequestsPerSecond = 24;
+constexpr size_t kCrashingRequestsPerSecond = 24;
 
 ListedEndpoint Listed(const std::string& id) {
   ListedEndpoint endpoint;
@@ -137,7 +137,7 @@
     UnlimitedSends unlimited;
     CHECK(SlowStartSimulation(fleet, seed)
               .Run(&unlimited)
-              .max_requests_per_second > kBreakingRequestsPerSecond);
+              .max_requests_per_second > kCrashingRequestsPerSecond);
   }
 }
 
@@ -166,7 +166,7 @@
   fleet.stale_box_share = 0.2;
   fleet.unknown_to_stale_share = 0.5;
   CHECK(RunRendezvousSenders(fleet).max_requests_per_second <=
-        kBreakingRequestsPerSecond);
+        kCrashingRequestsPerSecond);
 }
 
 }  // namespace
