--- a/leverwick/testing/read_sources_test.cc
+++ b/leverwick/testing/read_sources_test.cc
@@ -88,7 +88,7 @@
       for (const LogBox& box : MakeBoxes(count)) {
         if (random() % 3 == 0) centre.down.insert(box.name);
       }
-      // Longer than the maximum backoff: boxes that were down are tried again.
+      // Longer than the maximum back-off: boxes that were down are retried.
       now += 40 * kSecond;
       auto reads = centre.ResolveSources(now);
       if (reads.empty()) continue;
@@ -116,7 +116,7 @@
   CHECK(readers_by_source.begin()->first == "box-0");
 }
 
-TEST_CASE("repeated failures of a box double its backoff up to the maximum") {
+TEST_CASE("repeated failures of a box double its back-off up to the maximum") {
   std::vector<LogBox> boxes = MakeBoxes(2);
   ReadSources sources(boxes[1], 1);
   sources.SetBoxes(boxes);
